--- /dev/null
+++ b/tests/replay_test.cpp
@@ -0,0 +1,479 @@
+// Replay oracle of the decision library: seeded legal lifetimes of one sidecar, each folded into one hash of
+// all its events, times and actions. The hashes in replay_hashes.txt were recorded before the library was
+// split into modules: a different hash means that a decision, a floating-point result or a random draw has
+// changed. REPLAY_RECORD=FILE writes the hashes of this build there instead.
+#define XXH_INLINE_ALL
+#include <gtest/gtest.h>
+#include <xxhash.h>
+
+#include <bit>
+#include <cstdlib>
+#include <fstream>
+#include <map>
+#include <random>
+#include <set>
+#include <string>
+
+#include "kelplb/balancer.hpp"
+
+namespace kelplb {
+namespace {
+
+constexpr int kLifetimes = 1200;
+
+// Folds values, never names or memory, so that renamed types give the same hash.
+class Fold {
+public:
+    void number(std::uint64_t value) { hash_ = XXH64(&value, sizeof value, hash_); }
+    void real(double value) { number(std::bit_cast<std::uint64_t>(value)); }
+    void bytes(const std::vector<std::uint8_t>& bytes) {
+        number(bytes.size());
+        for (const std::uint8_t byte : bytes) number(byte);
+    }
+    std::uint64_t value() const { return hash_; }
+
+private:
+    std::uint64_t hash_ = 0;
+};
+
+// Raw draws of a standard engine: the standard's distributions differ from library to library.
+class Draw {
+public:
+    explicit Draw(std::uint64_t seed) : engine_(seed) {}
+    double unit() { return static_cast<double>(engine_() >> 11) * 0x1.0p-53; }
+    double between(double low, double high) { return low + (high - low) * unit(); }
+    std::uint64_t below(std::uint64_t bound) { return engine_() % bound; }
+    bool chance(double probability) { return unit() < probability; }
+    template <class T>
+    T one_of(std::initializer_list<T> values) {
+        return *(values.begin() + below(values.size()));
+    }
+
+private:
+    std::mt19937_64 engine_;
+};
+
+void fold_action(Fold& fold, const Send& a) {
+    fold.number(a.id);
+    fold.number(a.server);
+    fold.real(a.try_until);
+    fold.real(a.write_until);
+}
+void fold_action(Fold& fold, const Cancel& a) {
+    fold.number(a.id);
+    fold.number(a.attempt);
+}
+void fold_action(Fold& fold, const Refuse& a) {
+    fold.number(a.id);
+    fold.real(a.retry_in);
+    fold.number(static_cast<std::uint64_t>(a.reason));
+}
+void fold_action(Fold& fold, const GiveUp& a) {
+    fold.number(a.id);
+    fold.number(static_cast<std::uint64_t>(a.reason));
+}
+void fold_action(Fold& fold, const SetTimer& a) {
+    fold.real(a.at);
+    fold.number(a.token);
+}
+void fold_action(Fold& fold, const Probe& a) { fold.number(a.server); }
+void fold_action(Fold& fold, const CloseIdle& a) { fold.number(a.server); }
+void fold_action(Fold& fold, const TellPeer& a) {
+    fold.number(a.to ? *a.to + 1ULL : 0);
+    fold.bytes(a.bytes);
+}
+void fold_action(Fold& fold, const Subscribe& a) { fold.number(a.active ? 1 : 0); }
+void fold_action(Fold&, const FetchList&) {}
+void fold_action(Fold& fold, const Log& a) { fold.number(a.server ? *a.server + 1ULL : 0); }
+void fold_action(Fold& fold, const Share& a) {
+    fold.number(a.server);
+    fold.real(a.good);
+    fold.real(a.bad);
+    fold.real(a.pace);
+    fold.number(a.removed ? 1 : 0);
+    fold.number(a.restored ? 1 : 0);
+}
+
+RequestClass draw_class(Draw& draw) {
+    RequestClass drawn;
+    drawn.effect = draw.one_of({Effect::repeatable, Effect::by_key, Effect::once});
+    drawn.dedup_scope = draw.one_of({DedupScope::all, DedupScope::zone, DedupScope::cell});
+    drawn.dedup_window = draw.one_of({0.0, 300.0, 1500.0, 5000.0});
+    drawn.aim = draw.between(60, 900);
+    drawn.aim_stretch = draw.chance(0.5) ? draw.between(0, 3) : 0;
+    drawn.worth = draw.between(0, 4);
+    return drawn;
+}
+
+Settings draw_settings(Draw& draw) {
+    Settings drawn;
+    for (std::uint64_t left = 1 + draw.below(4); left > 0; --left) drawn.classes.push_back(draw_class(draw));
+    if (draw.chance(0.7)) drawn.my_zone = static_cast<ZoneId>(draw.below(3));
+    drawn.siblings = draw.one_of<std::uint32_t>({1, 4, 30, 300, 900});
+    drawn.my_number = static_cast<std::uint32_t>(draw.below(drawn.siblings));
+    drawn.list_on_request = draw.chance(0.5);
+    drawn.ask_within = draw.one_of({0.0, 400.0, 2000.0});
+    drawn.max_attempts = static_cast<std::uint32_t>(1 + draw.below(4));
+    drawn.parallel_tries = draw.chance(0.5);
+    drawn.may_cancel = draw.chance(0.8);
+    drawn.may_probe = draw.chance(0.6);
+    drawn.share = draw.chance(0.4);
+    drawn.may_tell = draw.chance(0.6);
+    drawn.cold_from = draw.one_of({0.1, 0.3, 1.0});
+    drawn.warm_within = draw.one_of({0.0, 3000.0, 20000.0});
+    drawn.fall_multiple = draw.between(1, 4);
+    drawn.fees.cross_zone = draw.one_of({0.0, 0.01, 0.2});
+    drawn.fees.probe = draw.one_of({0.0, 0.002, 0.05});
+    return drawn;
+}
+
+// One sidecar's lifetime: servers that fail, slow down, restart and leave, clients that leave, timers,
+// probes, lists and messages, each event at its time; what the balancer asks for decides what happens next.
+class Lifetime {
+public:
+    explicit Lifetime(std::uint64_t seed)
+        : draw_(seed), settings_(draw_settings(draw_)), balancer_(settings_, seed * 7919 + 1) {}
+
+    std::uint64_t hash() {
+        start();
+        while (!events_.empty() && handled_ < kMostEvents) {
+            const auto next = events_.begin();
+            now_ = std::max(now_, next->first.first);
+            const Occurrence occurrence = next->second;
+            events_.erase(next);
+            occur(occurrence);
+        }
+        return fold_.value();
+    }
+    const std::map<std::size_t, std::uint64_t>& action_counts() const { return action_counts_; }
+
+private:
+    enum class Kind {
+        arrival,
+        first_byte,
+        attempt_end,
+        client_leaves,
+        timer,
+        probe_end,
+        list_changes,
+        list_answer,
+        peer_message,
+        settings_change,
+        fleet_view
+    };
+    struct Occurrence {
+        Kind kind = Kind::timer;
+        std::uint64_t id = 0;  // of a request, a timer or a server
+        std::uint32_t attempt = 0;
+        Outcome outcome = Outcome::completed;
+        Millis duration = 0;
+    };
+    struct OpenRequest {
+        std::vector<bool> in_flight;
+        bool ended = false;
+    };
+    enum class Health { sound, slow, failing, unreachable, full };
+
+    static constexpr int kMostEvents = 1500, kRequests = 350;
+    static constexpr Millis kBegin = 50000;
+
+    void start() {
+        now_ = kBegin;
+        mean_gap_ = draw_.one_of({3.0, 20.0, 120.0, 900.0});
+        for (ServerId id = 1, last = static_cast<ServerId>(1 + draw_.below(40)); id <= last; ++id)
+            add_server(id * 7);
+        give(Started{});
+        give(ServerList{ListKind::saved, listed()});
+        if (draw_.chance(0.3)) give(Recalled{{{7, draw_.between(0, 9000), draw_.unit()}, {14, 0, 0.4}}});
+        if (!settings_.list_on_request) give(ServerList{ListKind::full, listed()});
+        at(draw_.between(0, mean_gap_), {Kind::arrival});
+        at(draw_.between(500, 6000), {Kind::list_changes});
+        at(draw_.between(50, 3000), {Kind::peer_message});
+        at(draw_.between(3000, 60000), {Kind::settings_change});
+        if (settings_.share) at(draw_.between(100, 2000), {Kind::fleet_view});
+    }
+
+    void add_server(ServerId id) {
+        ServerInfo server;
+        server.id = id;
+        server.zone = static_cast<ZoneId>(draw_.below(3));
+        server.cell = static_cast<std::uint32_t>(draw_.below(3));
+        server.phase = draw_.chance(0.9) ? Phase::on : Phase::fading;
+        server.online_since = draw_.chance(0.8) ? 0 : now_ - draw_.between(0, 10000);
+        server.units = draw_.one_of({1.0, 1.0, 2.5, 0.5, 0.0});
+        servers_[id] = server;
+        health_[id] = draw_health();
+    }
+    Health draw_health() {
+        const double drawn = draw_.unit();
+        if (drawn < 0.7) return Health::sound;
+        return drawn < 0.78   ? Health::slow
+               : drawn < 0.88 ? Health::failing
+               : drawn < 0.95 ? Health::unreachable
+                              : Health::full;
+    }
+    std::vector<ServerInfo> listed() const {
+        std::vector<ServerInfo> all;
+        for (const auto& [id, server] : servers_) all.push_back(server);
+        return all;
+    }
+
+    void at(Millis after, Occurrence occurrence) { events_[{now_ + after, order_++}] = occurrence; }
+
+    void give(const Event& event) {
+        ++handled_;
+        std::vector<Action> actions;
+        balancer_.handle(now_, event, actions);
+        fold_.number(event.index());
+        fold_.real(now_);
+        for (const Action& action : actions) {
+            fold_.number(action.index());
+            ++action_counts_[action.index()];
+            std::visit([this](const auto& a) { fold_action(fold_, a); }, action);
+        }
+        fold_held();
+        for (const Action& action : actions) std::visit([this](const auto& a) { carry_out(a); }, action);
+    }
+    void fold_held() {
+        const auto held = balancer_.held();
+        for (const std::size_t count : {held.requests, held.servers, held.timers, held.removed})
+            fold_.number(count);
+        if (handled_ % 50 != 0) return;
+        for (const Learnt& learnt : balancer_.learnt()) {
+            fold_.number(learnt.server);
+            fold_.real(learnt.removed_for);
+            fold_.real(learnt.pace);
+        }
+    }
+
+    void occur(const Occurrence& o) {
+        switch (o.kind) {
+            case Kind::arrival:
+                return arrive();
+            case Kind::first_byte:
+                if (attempt_in_flight(o)) give(FirstByte{o.id, o.attempt});
+                return;
+            case Kind::attempt_end:
+                return end_attempt(o);
+            case Kind::client_leaves:
+                return leave(o.id);
+            case Kind::timer:
+                return give(TimerFired{o.id});
+            case Kind::probe_end:
+                return give(ProbeEnded{static_cast<ServerId>(o.id), o.outcome, o.duration});
+            case Kind::list_changes:
+                return change_list();
+            case Kind::list_answer:
+                return give(ServerList{draw_.chance(0.3) ? ListKind::failed : ListKind::full, listed()});
+            case Kind::peer_message:
+                return receive_from_peer();
+            case Kind::settings_change:
+                return change_settings();
+            case Kind::fleet_view:
+                return receive_fleet_view();
+        }
+    }
+
+    void arrive() {
+        const RequestId id = ++last_request_;
+        requests_[id] = {};
+        RequestArrived event;
+        event.id = id;
+        event.class_index =
+            static_cast<std::uint32_t>(draw_.below(settings_.classes.size() + (draw_.chance(0.05) ? 1 : 0)));
+        event.time_left = draw_.one_of({0.0, 40.0, 400.0, 1500.0, 4000.0});
+        event.effort = draw_.chance(0.5) ? draw_.between(0, 80) : 0;
+        event.repeat = draw_.chance(0.1);
+        if (draw_.chance(0.1)) event.settings = std::make_shared<const Settings>(settings_);
+        if (draw_.chance(0.08)) at(draw_.between(0, 800), {Kind::client_leaves, id});
+        if (last_request_ < kRequests) at(gap(), {Kind::arrival});
+        give(event);
+    }
+    Millis gap() {
+        if (draw_.chance(0.01)) return draw_.between(1000, 15000);  // a pause
+        const Millis mean = draw_.chance(0.1) ? mean_gap_ / 20 : mean_gap_;
+        return mean * 2 * draw_.unit();
+    }
+
+    bool attempt_in_flight(const Occurrence& o) const {
+        const auto request = requests_.find(o.id);
+        return request != requests_.end() && o.attempt < request->second.in_flight.size() &&
+               request->second.in_flight[o.attempt];
+    }
+    void end_attempt(const Occurrence& o) {
+        if (!attempt_in_flight(o)) return;
+        OpenRequest& request = requests_.at(o.id);
+        request.in_flight[o.attempt] = false;
+        if (o.outcome == Outcome::completed) request.ended = true;
+        give(AttemptEnded{o.id, o.attempt, o.outcome, o.duration, request.ended});
+    }
+    void leave(RequestId id) {
+        OpenRequest& request = requests_.at(id);
+        if (request.ended) return;
+        request.ended = true;
+        give(ClientGone{id});
+    }
+
+    void change_list() {
+        std::vector<ServerInfo> changed;
+        for (std::uint64_t left = 1 + draw_.below(4); left > 0; --left) changed.push_back(change_server());
+        const bool incremental = draw_.chance(0.7);
+        at(draw_.between(300, 9000), {Kind::list_changes});
+        give(ServerList{incremental ? ListKind::incremental : ListKind::full,
+                        incremental ? changed : listed()});
+    }
+    ServerInfo change_server() {
+        if (servers_.empty() || draw_.chance(0.2)) {
+            const ServerId id = static_cast<ServerId>(1000 + draw_.below(60));
+            add_server(id);
+            return servers_[id];
+        }
+        auto at = servers_.begin();
+        std::advance(at, static_cast<std::ptrdiff_t>(draw_.below(servers_.size())));
+        ServerInfo& server = at->second;
+        server.phase = draw_.one_of({Phase::on, Phase::on, Phase::fading, Phase::off});
+        if (draw_.chance(0.4)) server.online_since = now_;
+        health_[server.id] = draw_health();
+        const ServerInfo changed = server;
+        if (server.phase == Phase::off) servers_.erase(at);
+        return changed;
+    }
+
+    void receive_from_peer() {
+        PeerMessage message;
+        message.from = static_cast<std::uint32_t>(draw_.below(900));
+        const std::uint64_t length = draw_.one_of<std::uint64_t>({1, 1, 4, 4, 4, 0, 7});
+        for (std::uint64_t i = 0; i < length; ++i)
+            message.bytes.push_back(static_cast<std::uint8_t>(draw_.below(256)));
+        if (length == 4) message.bytes = {0, 0, 0, static_cast<std::uint8_t>(7 * (1 + draw_.below(20)))};
+        at(draw_.between(20, 2500), {Kind::peer_message});
+        give(message);
+    }
+
+    void change_settings() {
+        const std::size_t classes = settings_.classes.size();
+        Settings next = draw_settings(draw_);
+        while (next.classes.size() < classes) next.classes.push_back(draw_class(draw_));
+        if (draw_.chance(0.2)) next.siblings = 0;  // makes no sense, so it has no effect
+        if (next.siblings > 0) settings_ = next;
+        at(draw_.between(5000, 60000), {Kind::settings_change});
+        give(SettingsChanged{std::make_shared<const Settings>(next)});
+    }
+
+    void receive_fleet_view() {
+        FleetView view;
+        for (const auto& [id, server] : servers_) {
+            if (draw_.chance(0.7)) continue;
+            FleetEvidence evidence;
+            evidence.server = id;
+            evidence.good = static_cast<std::uint32_t>(draw_.below(60));
+            evidence.bad = static_cast<std::uint32_t>(draw_.below(60));
+            evidence.complaints = static_cast<std::uint32_t>(draw_.below(8));
+            evidence.witnesses = static_cast<std::uint32_t>(draw_.below(evidence.complaints + 1));
+            evidence.closed = static_cast<std::uint32_t>(draw_.below(5));
+            evidence.restored = static_cast<std::uint32_t>(draw_.below(4));
+            evidence.paced = static_cast<std::uint32_t>(draw_.below(6));
+            evidence.pace = draw_.between(0, 1.5);
+            view.servers.push_back(evidence);
+        }
+        at(draw_.between(200, 3000), {Kind::fleet_view});
+        give(view);
+    }
+
+    // What happens to an attempt at a server of that health: how it ends, and after what time.
+    std::pair<Outcome, Millis> fate(Health health) {
+        const double rare = draw_.unit();
+        if (rare < 0.02) return {Outcome::severed, draw_.between(1, 300)};
+        if (rare < 0.03) return {Outcome::superseded, 0};
+        switch (health) {
+            case Health::slow:
+                return {Outcome::completed, draw_.between(300, 2500)};
+            case Health::failing:
+                return {draw_.chance(0.8) ? Outcome::errored : Outcome::completed, draw_.between(1, 40)};
+            case Health::unreachable:
+                return {Outcome::refused_connection, draw_.between(0, 200)};
+            case Health::full:
+                return {draw_.chance(0.6) ? Outcome::saturated : Outcome::completed, draw_.between(1, 400)};
+            case Health::sound:
+                break;
+        }
+        return {Outcome::completed, draw_.between(5, 250)};
+    }
+
+    void carry_out(const Send& send) {
+        OpenRequest& request = requests_.at(send.id);
+        const auto attempt = static_cast<std::uint32_t>(request.in_flight.size());
+        request.in_flight.push_back(true);
+        auto [outcome, duration] = fate(health_[send.server]);
+        if (now_ + duration > send.try_until)
+            outcome = Outcome::overdue, duration = std::max(0.0, send.try_until - now_);
+        if (outcome == Outcome::completed && draw_.chance(0.1))
+            at(duration / 2, {Kind::first_byte, send.id, attempt});
+        at(duration, {Kind::attempt_end, send.id, attempt, outcome, duration});
+    }
+    void carry_out(const Cancel& cancel) {
+        at(0, {Kind::attempt_end, cancel.id, cancel.attempt, Outcome::recalled, 1});
+    }
+    void carry_out(const Refuse& rejected) { requests_.at(rejected.id).ended = true; }
+    void carry_out(const GiveUp& failed) { requests_.at(failed.id).ended = true; }
+    void carry_out(const SetTimer& timer) { at(std::max(0.0, timer.at - now_), {Kind::timer, timer.token}); }
+    void carry_out(const Probe& probe) {
+        const bool answers = health_[probe.server] == Health::sound || draw_.chance(0.4);
+        at(draw_.between(1, 60),
+           {Kind::probe_end, probe.server, 0, answers ? Outcome::completed : Outcome::overdue, 5});
+    }
+    void carry_out(const Subscribe&) { at(draw_.between(5, 400), {Kind::list_answer}); }
+    void carry_out(const CloseIdle&) {}
+    void carry_out(const TellPeer&) {}
+    void carry_out(const FetchList&) {}
+    void carry_out(const Log&) {}
+    void carry_out(const Share&) {}
+
+    Draw draw_;
+    Settings settings_;
+    Balancer balancer_;
+    Fold fold_;
+    Millis now_ = 0, mean_gap_ = 0;
+    std::map<std::pair<Millis, std::uint64_t>, Occurrence> events_;
+    std::uint64_t order_ = 0;
+    int handled_ = 0;
+    RequestId last_request_ = 0;
+    std::map<RequestId, OpenRequest> requests_;
+    std::map<ServerId, ServerInfo> servers_;
+    std::map<ServerId, Health> health_;
+    std::map<std::size_t, std::uint64_t> action_counts_;
+};
+
+std::vector<std::uint64_t> recorded_hashes() {
+    std::ifstream file(REPLAY_HASHES);
+    std::vector<std::uint64_t> hashes;
+    for (std::string line; std::getline(file, line);) hashes.push_back(std::stoull(line, nullptr, 16));
+    return hashes;
+}
+
+TEST(Replay, SeededLifetimesGiveTheRecordedActions) {
+    const char* record = std::getenv("REPLAY_RECORD");
+    std::ofstream out;
+    if (record) out.open(record);
+    const std::vector<std::uint64_t> recorded = recorded_hashes();
+    if (!record) {
+        ASSERT_EQ(recorded.size(), static_cast<std::size_t>(kLifetimes));
+    }
+    std::map<std::size_t, std::uint64_t> counts;
+    for (int seed = 0; seed < kLifetimes; ++seed) {
+        Lifetime lifetime(static_cast<std::uint64_t>(seed));
+        const std::uint64_t hash = lifetime.hash();
+        for (const auto& [kind, count] : lifetime.action_counts()) counts[kind] += count;
+        if (record)
+            out << std::hex << hash << '\n';
+        else
+            EXPECT_EQ(hash, recorded[static_cast<std::size_t>(seed)]) << "lifetime " << seed;
+    }
+    for (const auto& [kind, count] : counts)
+        RecordProperty("actions_" + std::to_string(kind), std::to_string(count));
+    // All but FetchList, which the present decisions don't use.
+    EXPECT_EQ(counts.size(), std::variant_size_v<Action> - 1) << "a kind of action was never seen";
+}
+
+}  // namespace
+}  // namespace kelplb
