--- a/bench/crash.py
+++ b/bench/crash.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
 """How quickly does service return after a SIGKILL, with a state folder and without, and what is written on a busy day?
 
-    bench/crash.py [--program build/cobaltshift] [--runs 10] [--busy-seconds 60] [--discovery-ms 300]
+    bench/crash.py [--program build/ochregrade] [--runs 10] [--busy-seconds 60] [--discovery-ms 300]
 
 Each run kills the real program while it serves and starts it again. Its file names no list of servers. Cases: with state
 and without, discovery up (its whole list takes 300 ms) or down. Measured from the start of the process: the first
@@ -24,9 +24,9 @@
 def config_for(discovery, folder):
     config = fleet.a_config(discovery.port, [], peers=20)
     del config["known"]
-    config["cobaltshift"]["state"] = {"lived_ms": 200}
+    config["ochregrade"]["state"] = {"lived_ms": 200}
     if folder:
-        config["cobaltshift"]["state"]["dir"] = folder
+        config["ochregrade"]["state"]["dir"] = folder
     return config
 
 
@@ -48,7 +48,7 @@
     rows = []
     for state in (True, False):
         for up in (True, False):
-            with tempfile.TemporaryDirectory(prefix="cobaltshift-state-") as folder:
+            with tempfile.TemporaryDirectory(prefix="ochregrade-state-") as folder:
                 discovery = fleet.Discovery(servers.hosts(60))
                 await discovery.start()
                 sidecar = fleet.Sidecar(args.program, config_for(discovery, folder if state else None))
@@ -68,12 +68,12 @@
 async def busy(args):
     servers = fleet.Servers(8)
     await servers.start()
-    with tempfile.TemporaryDirectory(prefix="cobaltshift-state-") as folder:
+    with tempfile.TemporaryDirectory(prefix="ochregrade-state-") as folder:
         hosts = servers.hosts(60)
         discovery = fleet.Discovery(hosts)
         await discovery.start()
         one = config_for(discovery, folder)
-        admin = int(one["cobaltshift"]["admin"]["listen"].rsplit(":", 1)[1])
+        admin = int(one["ochregrade"]["admin"]["listen"].rsplit(":", 1)[1])
         sidecar = fleet.Sidecar(args.program, one)
         await sidecar.start()
         try:
@@ -109,7 +109,7 @@
 
 async def main():
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("--program", default="build/cobaltshift")
+    parser.add_argument("--program", default="build/ochregrade")
     parser.add_argument("--runs", type=int, default=10)
     parser.add_argument("--busy-seconds", type=float, default=60)
     parser.add_argument("--discovery-ms", type=float, default=300)
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -130,7 +130,7 @@
 
     def __init__(self, program, config):
         self.program, self.config = program, config
-        self.folder = tempfile.TemporaryDirectory(prefix="cobaltshift-bench-")
+        self.folder = tempfile.TemporaryDirectory(prefix="ochregrade-bench-")
         self.path = os.path.join(self.folder.name, "config.json")
         self.log = os.path.join(self.folder.name, "log")
         self.port = int(config["listen"].rsplit(":", 1)[1])
@@ -272,7 +272,7 @@
         "peer_listen": f"127.0.0.1:{own}",
         "peers": [f"127.0.0.1:{own}"] + [f"127.0.9.{1 + i // 100}:{20000 + i % 100}" for i in range(peers - 1)],
         "known": {"seq": 41, "whole": True, "hosts": hosts},
-        "cobaltshift": {"admin": {"listen": f"127.0.0.1:{free_port()}"}},
+        "ochregrade": {"admin": {"listen": f"127.0.0.1:{free_port()}"}},
         "settings": {
             "classes": [kind("listen", "repeatable"), kind("deposit", "once")],
             "siblings": peers, "my-number": 0, "my-zone": "a", "azs": ["a", "b"],
@@ -286,7 +286,7 @@
 
 def metric(text, name):
     for line in text.decode().splitlines():
-        if line.startswith("cobaltshift_" + name + " "):
+        if line.startswith("ochregrade_" + name + " "):
             return float(line.rsplit(" ", 1)[1])
     raise KeyError(name)
 
--- a/bench/guarantees.py
+++ b/bench/guarantees.py
@@ -19,7 +19,7 @@
 LISTENER, UPSTREAM, SIDECAR = "src/net/listener.cpp", "src/net/upstream.cpp", "src/net/sidecar.cpp"
 NODE, DISCOVERY, MODULE = "src/net/node.cpp", "src/net/discovery.cpp", "src/balance.cpp"
 GUARD, STARTUP = "src/net/rule_guard.cpp", "src/net/startup.hpp"
-NET, RULES, PROCESS = "kelplb_net_tests", "kelplb_tests", "kelplb_crash_tests"
+NET, RULES, PROCESS = "ochregrade_net_tests", "ochregrade_tests", "ochregrade_crash_tests"
 
 # Given in two places each, and named by more than one row.
 CLOSED_WHEN_OVER = [
@@ -266,7 +266,7 @@
             os.makedirs(tree, exist_ok=True)
             bring(source, to)
     jobs = str(os.cpu_count() or 2)
-    configured = run(["cmake", "-S", tree, "-B", build, "-DKELPLB_TESTS=ON", "-DKELPLB_LAB=OFF",
+    configured = run(["cmake", "-S", tree, "-B", build, "-DOCHREGRADE_TESTS=ON", "-DOCHREGRADE_LAB=OFF",
                       "-DCMAKE_BUILD_TYPE=RelWithDebInfo", "-DCMAKE_CXX_FLAGS_RELWITHDEBINFO=-O1"])
     if configured.returncode:
         sys.exit(configured.stdout)
--- a/bench/module_bench.cpp
+++ b/bench/module_bench.cpp
@@ -2,11 +2,11 @@
 // list. How it is built and run stands in docs/LIMITS.md.
 #include <benchmark/benchmark.h>
 
-#include "kelplb/balancer.hpp"
+#include "ochregrade/balancer.hpp"
 
 namespace {
 
-using namespace kelplb;
+using namespace ochregrade;
 
 // One of many sidecars, with little traffic of its own, on a clock that the benchmark moves.
 struct Bench {
--- a/bench/reload.py
+++ b/bench/reload.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
 """Does a change of the configuration cost a request, and how long does the loop stand still for it?
 
-    bench/reload.py [--program build/cobaltshift] [--runs 10] [--seconds 3] [--every-ms 20] [--rate 400] [--state]
+    bench/reload.py [--program build/ochregrade] [--runs 10] [--seconds 3] [--every-ms 20] [--rate 400] [--state]
 
 Each run: the real program with 300 peers and 200 listed servers serves clients for a while without changes, then as
 long with a change every 20 ms, by turns with SIGHUP and over the operators' endpoint. Every change swaps the classes'
@@ -32,7 +32,7 @@
 
 
 async def change_all_the_time(sidecar, one, other, every_s, until):
-    admin = int(one["cobaltshift"]["admin"]["listen"].rsplit(":", 1)[1])
+    admin = int(one["ochregrade"]["admin"]["listen"].rsplit(":", 1)[1])
     turn = 0
     while asyncio.get_running_loop().time() < until:
         next_one = other if turn % 2 == 0 else one
@@ -57,9 +57,9 @@
     await discovery.start()
     await elsewhere.start()
     one = fleet.a_config(discovery.port, hosts)
-    folder = tempfile.TemporaryDirectory(prefix="cobaltshift-state-")
+    folder = tempfile.TemporaryDirectory(prefix="ochregrade-state-")
     if args.state:
-        one["cobaltshift"]["state"] = {"dir": folder.name}
+        one["ochregrade"]["state"] = {"dir": folder.name}
     other = other_of(one, elsewhere.port)
     sidecar = fleet.Sidecar(args.program, one)
     await sidecar.start()
@@ -74,7 +74,7 @@
                 until = asyncio.get_running_loop().time() + args.seconds
                 tasks.append(change_all_the_time(sidecar, one, other, args.every_ms / 1000, until))
             await asyncio.gather(*tasks)
-            admin = int(one["cobaltshift"]["admin"]["listen"].rsplit(":", 1)[1])
+            admin = int(one["ochregrade"]["admin"]["listen"].rsplit(":", 1)[1])
             metrics = (await fleet.call(admin, "GET", "/metrics"))[1]
             rows.append({
                 "run": number, "changes": phase, "asked": clients.asked, **clients.ended, "wrong answers": clients.wrong,
@@ -91,7 +91,7 @@
 
 async def main():
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("--program", default="build/cobaltshift")
+    parser.add_argument("--program", default="build/ochregrade")
     parser.add_argument("--runs", type=int, default=10)
     parser.add_argument("--seconds", type=float, default=3)
     parser.add_argument("--every-ms", type=float, default=20)
--- a/include/kelplb/balancer.hpp
+++ b/include/ochregrade/balancer.hpp
@@ -1,4 +1,4 @@
-// kelplb: the decisions of a sidecar balancer, without I/O and without a clock.
+// ochregrade: the decisions of a sidecar balancer, without I/O and without a clock.
 //
 // One Balancer serves one sidecar. Feed it every event in order with the time at which it happened and carry
 // out the actions it appends, in their order, at that same time. Times are milliseconds on any clock that
@@ -13,7 +13,7 @@
 #include <variant>
 #include <vector>
 
-namespace kelplb {
+namespace ochregrade {
 
 using Millis = double;
 using ServerId = std::uint32_t;
@@ -270,4 +270,4 @@
     std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace kelplb
+}  // namespace ochregrade
--- a/setup.sh
+++ b/setup.sh
@@ -10,8 +10,8 @@
 $sudo apt-get update -q
 $sudo apt-get install -qy --no-install-recommends g++ cmake make clang-format-14 libgtest-dev libboost-dev \
     nlohmann-json3-dev libcli11-dev libtomlplusplus-dev libspdlog-dev libxxhash-dev librapidcheck-dev gnuplot-nox python3
-cmake -B build -DCMAKE_BUILD_TYPE=Release -DKELPLB_TESTS=OFF -DKELPLB_LAB=ON
+cmake -B build -DCMAKE_BUILD_TYPE=Release -DOCHREGRADE_TESTS=OFF -DOCHREGRADE_LAB=ON
 cmake --build build -j"$(nproc)"
 experiment=${1:-experiments/small.toml}
-build/cobaltshift_lab run "$experiment" --program build/cobaltshift --quiet >/dev/null
+build/ochregrade_lab run "$experiment" --program build/ochregrade --quiet >/dev/null
 echo "report: lab-runs/$(basename "$experiment" .toml)-*/ (summary.json, fleet.png, servers.png)"
--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -1,4 +1,4 @@
-// Every decision of kelplb. The interface is include/kelplb/balancer.hpp.
+// Every decision of ochregrade. The interface is include/ochregrade/balancer.hpp.
 //
 // The path of a request: on(RequestArrived) takes it and sets its timer; place() looks for room (admission)
 // and pick() for a server: one whose backoff is over gets it as half-open trial, else of two live ones drawn
@@ -14,11 +14,11 @@
 #include <stdexcept>
 #include <unordered_map>
 
-#include "kelplb/balancer.hpp"
+#include "ochregrade/balancer.hpp"
 #include "random.hpp"
 #include "settings.hpp"
 
-namespace kelplb {
+namespace ochregrade {
 
 namespace {
 
@@ -944,4 +944,4 @@
     return {impl_->requests.size(), impl_->servers.size(), impl_->timers.size(), removed};
 }
 
-}  // namespace kelplb
+}  // namespace ochregrade
--- a/src/fleet/agreement.hpp
+++ b/src/fleet/agreement.hpp
@@ -8,7 +8,7 @@
 
 #include "fleet/replica.hpp"
 
-namespace kelplb::fleet {
+namespace ochregrade::fleet {
 
 struct Pace {
     Millis grace = 150;      // whoever is told by the ordinary way within this need not ask
@@ -57,4 +57,4 @@
 Place settings_place(const Versions& v);
 Place list_place(const Versions& v);
 
-}  // namespace kelplb::fleet
+}  // namespace ochregrade::fleet
--- a/src/fleet/codec.cpp
+++ b/src/fleet/codec.cpp
@@ -5,7 +5,7 @@
 
 #include <array>
 
-namespace kelplb::fleet {
+namespace ochregrade::fleet {
 
 namespace {
 
@@ -165,4 +165,4 @@
     return "bad item";
 }
 
-}  // namespace kelplb::fleet
+}  // namespace ochregrade::fleet
--- a/src/fleet/codec.hpp
+++ b/src/fleet/codec.hpp
@@ -19,7 +19,7 @@
 
 #include "fleet/records.hpp"
 
-namespace kelplb::fleet {
+namespace ochregrade::fleet {
 
 using Bytes = std::vector<std::uint8_t>;
 
@@ -111,4 +111,4 @@
     return bytes.size() >= kHead && bytes[0] == kFormat;
 }
 
-}  // namespace kelplb::fleet
+}  // namespace ochregrade::fleet
--- a/src/fleet/records.cpp
+++ b/src/fleet/records.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <array>
 
-namespace kelplb::fleet {
+namespace ochregrade::fleet {
 
 namespace {
 
@@ -132,4 +132,4 @@
     return static_cast<std::uint32_t>(sum ^ sum >> 32);
 }
 
-}  // namespace kelplb::fleet
+}  // namespace ochregrade::fleet
--- a/src/fleet/replica.cpp
+++ b/src/fleet/replica.cpp
@@ -9,7 +9,7 @@
 #include <set>
 #include <stdexcept>
 
-namespace kelplb::fleet {
+namespace ochregrade::fleet {
 
 namespace {
 
@@ -868,4 +868,4 @@
                            [](std::size_t n, const OriginState& s) { return n + s.evidence().size(); });
 }
 
-}  // namespace kelplb::fleet
+}  // namespace ochregrade::fleet
--- a/src/fleet/replica.hpp
+++ b/src/fleet/replica.hpp
@@ -18,7 +18,7 @@
 #include "fleet/records.hpp"
 #include "random.hpp"
 
-namespace kelplb::fleet {
+namespace ochregrade::fleet {
 
 constexpr MemberId kAll = 0xffff;  // as a receiver: every other member
 
@@ -207,4 +207,4 @@
     Counts counts_;
 };
 
-}  // namespace kelplb::fleet
+}  // namespace ochregrade::fleet
--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -3,7 +3,7 @@
 #include <boost/asio/redirect_error.hpp>
 #include <boost/beast/http.hpp>
 
-namespace kelplb::lab {
+namespace ochregrade::lab {
 
 namespace {
 namespace http = boost::beast::http;
@@ -159,4 +159,4 @@
     co_return !ec && response.result_int() == 200;
 }
 
-}  // namespace kelplb::lab
+}  // namespace ochregrade::lab
--- a/src/lab/clients.hpp
+++ b/src/lab/clients.hpp
@@ -12,7 +12,7 @@
 #include "lab/experiment.hpp"
 #include "lab/record.hpp"
 
-namespace kelplb::lab {
+namespace ochregrade::lab {
 
 namespace asio = boost::asio;
 namespace beast = boost::beast;
@@ -54,4 +54,4 @@
     std::uint64_t in_flight_ = 0;
 };
 
-}  // namespace kelplb::lab
+}  // namespace ochregrade::lab
--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <set>
 
-namespace kelplb::lab {
+namespace ochregrade::lab {
 
 namespace {
 
@@ -249,4 +249,4 @@
     return e;
 }
 
-}  // namespace kelplb::lab
+}  // namespace ochregrade::lab
--- a/src/lab/experiment.hpp
+++ b/src/lab/experiment.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace kelplb::lab {
+namespace ochregrade::lab {
 
 // A field of the experiment file that is missing, of the wrong type or out of range. `field` is its dotted
 // path.
@@ -99,4 +99,4 @@
 // Reads an experiment; throws ExperimentError naming the first bad field.
 Experiment load_experiment(const std::string& path);
 
-}  // namespace kelplb::lab
+}  // namespace ochregrade::lab
--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -17,7 +17,7 @@
 
 extern char** environ;
 
-namespace kelplb::lab {
+namespace ochregrade::lab {
 
 namespace {
 // A sidecar's folder is named as the sidecar is.
@@ -175,4 +175,4 @@
     }
 }
 
-}  // namespace kelplb::lab
+}  // namespace ochregrade::lab
--- a/src/lab/fleet.hpp
+++ b/src/lab/fleet.hpp
@@ -12,7 +12,7 @@
 
 #include "lab/experiment.hpp"
 
-namespace kelplb::lab {
+namespace ochregrade::lab {
 
 struct SidecarSpec {
     int index = 0;
@@ -79,4 +79,4 @@
 // before it binds.
 std::uint16_t free_port(const std::string& address, bool udp);
 
-}  // namespace kelplb::lab
+}  // namespace ochregrade::lab
--- a/src/lab/history.cpp
+++ b/src/lab/history.cpp
@@ -9,7 +9,7 @@
 #include <set>
 #include <string_view>
 
-namespace kelplb::lab {
+namespace ochregrade::lab {
 
 namespace {
 
@@ -180,4 +180,4 @@
             {"log_lines_left_out", left_out_}};
 }
 
-}  // namespace kelplb::lab
+}  // namespace ochregrade::lab
--- a/src/lab/history.hpp
+++ b/src/lab/history.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-namespace kelplb::lab {
+namespace ochregrade::lab {
 
 // A line of a sidecar's log. Times are Unix milliseconds.
 struct Line {
@@ -65,4 +65,4 @@
 // The value that a share p of all is no greater than; 0 of none.
 double percentile(std::vector<double> values, double p);
 
-}  // namespace kelplb::lab
+}  // namespace ochregrade::lab
--- a/src/lab/lab.cpp
+++ b/src/lab/lab.cpp
@@ -15,7 +15,7 @@
 #include "lab/report.hpp"
 #include "lab/standins.hpp"
 
-namespace kelplb::lab {
+namespace ochregrade::lab {
 
 namespace {
 
@@ -235,7 +235,7 @@
                 {"max-retry-after-ms", 2000}}},
               {"rules", {{"cold-from", e_.cold_from}, {"fall-multiple", 3}, {"warm-within-ms", e_.warm_ms}}},
               {"fees", {{"cross-zone", 0.01}, {"probe", 0.01}}}}},
-            {"cobaltshift",
+            {"ochregrade",
              {{"epoch", epoch_},
               {"rollout", {{"share", rollout_}}},
               {"fleet", {{"enabled", e_.shared}, {"agreement", e_.agreement}}}}}};
@@ -514,4 +514,4 @@
     return run.go();
 }
 
-}  // namespace kelplb::lab
+}  // namespace ochregrade::lab
--- a/src/lab/lab.hpp
+++ b/src/lab/lab.hpp
@@ -11,10 +11,10 @@
 
 #include "lab/experiment.hpp"
 
-namespace kelplb::lab {
+namespace ochregrade::lab {
 
 struct RunOptions {
-    std::string program;        // the sidecar to start, e.g. build/cobaltshift
+    std::string program;        // the sidecar to start, e.g. build/ochregrade
     std::filesystem::path out;  // the report's folder; sidecars' configurations and logs go below it
 };
 
@@ -23,4 +23,4 @@
 nlohmann::json run_experiment(const Experiment& experiment, const RunOptions& options,
                               std::shared_ptr<spdlog::logger> log);
 
-}  // namespace kelplb::lab
+}  // namespace ochregrade::lab
--- a/src/lab/loopback_block.cpp
+++ b/src/lab/loopback_block.cpp
@@ -10,7 +10,7 @@
 #include <stdexcept>
 #include <system_error>
 
-namespace kelplb::lab {
+namespace ochregrade::lab {
 
 namespace {
 
@@ -43,4 +43,4 @@
            std::to_string(1 + index % kAddressesPerRow);
 }
 
-}  // namespace kelplb::lab
+}  // namespace ochregrade::lab
--- a/src/lab/loopback_block.hpp
+++ b/src/lab/loopback_block.hpp
@@ -3,7 +3,7 @@
 
 #include <string>
 
-namespace kelplb::lab {
+namespace ochregrade::lab {
 
 // Holds one of the blocks 127.128.0.0/16 to 127.223.0.0/16 for as long as it lives. Ports of a run's sidecars
 // are found by asking the kernel for a free one and are bound later by the sidecar; on addresses that two
@@ -23,4 +23,4 @@
     int number_ = 0;
 };
 
-}  // namespace kelplb::lab
+}  // namespace ochregrade::lab
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -1,7 +1,7 @@
-// cobaltshift_lab: the fleet lab. Starts stand-ins and many real sidecars on loopback, plays load and faults
+// ochregrade_lab: the fleet lab. Starts stand-ins and many real sidecars on loopback, plays load and faults
 // from an experiment file, and writes a report.
-//   cobaltshift_lab run EXPERIMENT.toml --program build/cobaltshift --out lab-runs/NAME
-//   cobaltshift_lab check EXPERIMENT.toml
+//   ochregrade_lab run EXPERIMENT.toml --program build/ochregrade --out lab-runs/NAME
+//   ochregrade_lab check EXPERIMENT.toml
 #include <spdlog/sinks/basic_file_sink.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
@@ -32,7 +32,7 @@
 int main(int argc, char** argv) {
     CLI::App app{"The fleet lab: many real sidecars, stand-ins for what they serve, faults, reports."};
     app.require_subcommand(1);
-    std::string path, program = "build/cobaltshift", out;
+    std::string path, program = "build/ochregrade", out;
     std::int64_t seed = -1, sidecars = -1, servers = -1;
     double seconds = -1;
     bool quiet = false;
@@ -52,17 +52,17 @@
         ->check(CLI::ExistingFile);
     CLI11_PARSE(app, argc, argv);
 
-    kelplb::lab::Experiment experiment;
+    ochregrade::lab::Experiment experiment;
     try {
-        experiment = kelplb::lab::load_experiment(path);
+        experiment = ochregrade::lab::load_experiment(path);
         if (seed >= 0) experiment.seed = static_cast<std::uint64_t>(seed);
         if (sidecars > 0) experiment.sidecars = static_cast<int>(sidecars);
         if (servers > 0) experiment.servers = static_cast<int>(servers);
         if (seconds > 0) experiment.seconds = seconds;
         if (experiment.warmup_s >= experiment.seconds)
-            throw kelplb::lab::ExperimentError("seconds", "shorter than warmup_s");
-    } catch (const kelplb::lab::ExperimentError& error) {
-        std::cerr << "cobaltshift_lab: " << path << ": " << error.what() << "\n";
+            throw ochregrade::lab::ExperimentError("seconds", "shorter than warmup_s");
+    } catch (const ochregrade::lab::ExperimentError& error) {
+        std::cerr << "ochregrade_lab: " << path << ": " << error.what() << "\n";
         return 2;
     }
     if (check->parsed()) {
@@ -76,11 +76,11 @@
     try {
         std::filesystem::create_directories(out);
         auto log = json_logger(std::filesystem::path(out) / "lab.jsonl", quiet);
-        const auto summary = kelplb::lab::run_experiment(
+        const auto summary = ochregrade::lab::run_experiment(
             experiment, {std::filesystem::absolute(program).string(), std::filesystem::absolute(out)}, log);
         std::cout << summary.dump(2) << "\n";
     } catch (const std::exception& error) {
-        std::cerr << "cobaltshift_lab: " << error.what() << "\n";
+        std::cerr << "ochregrade_lab: " << error.what() << "\n";
         return 1;
     }
     return 0;
--- a/src/lab/record.cpp
+++ b/src/lab/record.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <cstdio>
 
-namespace kelplb::lab {
+namespace ochregrade::lab {
 
 const char* outcome_name(Outcome outcome) {
     static const char* const kNames[kOutcomes] = {"served", "refused", "failed", "lost", "unreachable"};
@@ -122,4 +122,4 @@
     s.datagrams_dropped += dropped;
 }
 
-}  // namespace kelplb::lab
+}  // namespace ochregrade::lab
--- a/src/lab/record.hpp
+++ b/src/lab/record.hpp
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-namespace kelplb::lab {
+namespace ochregrade::lab {
 
 enum class Outcome { served, refused, failed, lost, unreachable };
 constexpr int kOutcomes = 5;
@@ -76,4 +76,4 @@
     std::vector<Class> classes_;
 };
 
-}  // namespace kelplb::lab
+}  // namespace ochregrade::lab
--- a/src/lab/relay.cpp
+++ b/src/lab/relay.cpp
@@ -2,7 +2,7 @@
 
 #include <boost/asio/redirect_error.hpp>
 
-namespace kelplb::lab {
+namespace ochregrade::lab {
 
 namespace {
 using boost::system::error_code;
@@ -105,4 +105,4 @@
     sockets_[static_cast<std::size_t>(from)]->send_to(asio::buffer(bytes), at, 0, ignored);
 }
 
-}  // namespace kelplb::lab
+}  // namespace ochregrade::lab
--- a/src/lab/relay.hpp
+++ b/src/lab/relay.hpp
@@ -12,7 +12,7 @@
 #include "lab/experiment.hpp"
 #include "lab/record.hpp"
 
-namespace kelplb::lab {
+namespace ochregrade::lab {
 
 namespace asio = boost::asio;
 using asio::ip::udp;
@@ -53,4 +53,4 @@
     std::uint64_t oversize_ = 0;
 };
 
-}  // namespace kelplb::lab
+}  // namespace ochregrade::lab
--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -10,7 +10,7 @@
 
 #include "lab/history.hpp"
 
-namespace kelplb::lab {
+namespace ochregrade::lab {
 
 double jain(const std::vector<double>& values) {
     double sum = 0, squares = 0;
@@ -254,4 +254,4 @@
     return summary;
 }
 
-}  // namespace kelplb::lab
+}  // namespace ochregrade::lab
--- a/src/lab/report.hpp
+++ b/src/lab/report.hpp
@@ -7,7 +7,7 @@
 #include "lab/experiment.hpp"
 #include "lab/record.hpp"
 
-namespace kelplb::lab {
+namespace ochregrade::lab {
 
 // Jain's fairness index of `values`: (sum x)^2 / (n sum x^2), 1 when all are equal, 1/n when one has all.
 // 1 where all are zero (nothing to be unfair about); `values` may be empty (also 1).
@@ -23,4 +23,4 @@
 nlohmann::json write_report(const std::filesystem::path& folder, const Experiment& experiment,
                             const Recorder& recorder, const nlohmann::json& extra);
 
-}  // namespace kelplb::lab
+}  // namespace ochregrade::lab
--- a/src/lab/simnet.cpp
+++ b/src/lab/simnet.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace kelplb::lab {
+namespace ochregrade::lab {
 
 namespace {
 constexpr std::size_t kSocket = 800;  // datagrams a paused process's receive buffer holds; the rest is lost
@@ -162,4 +162,4 @@
     return true;
 }
 
-}  // namespace kelplb::lab
+}  // namespace ochregrade::lab
--- a/src/lab/simnet.hpp
+++ b/src/lab/simnet.hpp
@@ -12,7 +12,7 @@
 
 #include "fleet/replica.hpp"
 
-namespace kelplb::lab {
+namespace ochregrade::lab {
 
 struct Network {
     double loss = 0;                    // share of datagrams
@@ -92,4 +92,4 @@
     std::uint64_t datagrams_ = 0, bytes_ = 0;
 };
 
-}  // namespace kelplb::lab
+}  // namespace ochregrade::lab
--- a/src/lab/standins.cpp
+++ b/src/lab/standins.cpp
@@ -3,7 +3,7 @@
 #include <boost/asio/redirect_error.hpp>
 #include <charconv>
 
-namespace kelplb::lab {
+namespace ochregrade::lab {
 
 namespace {
 
@@ -305,4 +305,4 @@
     open_.erase(stream);
 }
 
-}  // namespace kelplb::lab
+}  // namespace ochregrade::lab
--- a/src/lab/standins.hpp
+++ b/src/lab/standins.hpp
@@ -17,7 +17,7 @@
 #include "lab/experiment.hpp"
 #include "lab/record.hpp"
 
-namespace kelplb::lab {
+namespace ochregrade::lab {
 
 namespace asio = boost::asio;
 namespace beast = boost::beast;
@@ -123,4 +123,4 @@
     std::map<std::shared_ptr<asio::steady_timer>, Watch> watches_;
 };
 
-}  // namespace kelplb::lab
+}  // namespace ochregrade::lab
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// cobaltshift: one real sidecar. Exit codes: 0 stopped as asked, 1 failed to start or run, 2 bad
+// ochregrade: one real sidecar. Exit codes: 0 stopped as asked, 1 failed to start or run, 2 bad
 // configuration. --check only says whether NODE_CONFIG names a good one, --fields lists what it may hold.
 #include <csignal>
 #include <iostream>
@@ -12,7 +12,7 @@
 
 namespace {
 
-using namespace kelplb::net;
+using namespace ochregrade::net;
 
 // Signals that a handler takes. While no handler is there yet, or no longer, any of them would end the
 // process.
@@ -82,16 +82,16 @@
         return 0;
     }
     if (argc > 2 || (argc == 2 && argument != "--check")) {
-        std::cerr << "usage: cobaltshift [--check | --fields]\n";
+        std::cerr << "usage: ochregrade [--check | --fields]\n";
         return 2;
     }
     try {
         argument == "--check" ? check() : run();
     } catch (const ConfigError& error) {
-        std::cerr << "cobaltshift: " << error.what() << '\n';
+        std::cerr << "ochregrade: " << error.what() << '\n';
         return 2;
     } catch (const std::exception& error) {
-        std::cerr << "cobaltshift: " << error.what() << '\n';
+        std::cerr << "ochregrade: " << error.what() << '\n';
         return 1;
     }
     return 0;
--- a/src/names.hpp
+++ b/src/names.hpp
@@ -4,9 +4,9 @@
 
 #include <string_view>
 
-#include "kelplb/balancer.hpp"
+#include "ochregrade/balancer.hpp"
 
-namespace kelplb {
+namespace ochregrade {
 
 // FNV-1a of the name. `taken(id)` tells whether another server has that number already: the next free one is
 // used then, and peers mean another server by it, which costs a tie.
@@ -18,4 +18,4 @@
     return id;
 }
 
-}  // namespace kelplb
+}  // namespace ochregrade
--- a/src/net/admin.cpp
+++ b/src/net/admin.cpp
@@ -11,7 +11,7 @@
 #include "net/log.hpp"
 #include "net/socket_io.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 namespace {
 
@@ -243,11 +243,11 @@
 HttpResponse get_metrics(const Node& node) {
     std::ostringstream out;
     const auto family = [&](const char* name, const char* type, const char* help) {
-        out << "# HELP cobaltshift_" << name << ' ' << help << "\n# TYPE cobaltshift_" << name << ' ' << type
+        out << "# HELP ochregrade_" << name << ' ' << help << "\n# TYPE ochregrade_" << name << ' ' << type
             << '\n';
     };
     const auto line = [&](const char* name, auto value, const char* label = "") {
-        out << "cobaltshift_" << name << label << ' ' << value << '\n';
+        out << "ochregrade_" << name << label << ' ' << value << '\n';
     };
     // One line for each place of `counts`, labelled with its name.
     const auto by_reason = [&](const char* name, const auto& counts, const char* label, const auto& name_at,
@@ -506,4 +506,4 @@
     });
 }
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/admin.hpp
+++ b/src/net/admin.hpp
@@ -8,7 +8,7 @@
 #include "net/http.hpp"
 #include "net/node.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 class Admin {
 public:
@@ -29,4 +29,4 @@
     std::list<std::weak_ptr<Session>> sessions_;
 };
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/backlog.hpp
+++ b/src/net/backlog.hpp
@@ -6,9 +6,9 @@
 #include <algorithm>
 #include <optional>
 
-#include "kelplb/balancer.hpp"
+#include "ochregrade/balancer.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 class Backlog {
 public:
@@ -32,4 +32,4 @@
     std::optional<Millis> since_, resumed_;
 };
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/clock.hpp
+++ b/src/net/clock.hpp
@@ -4,9 +4,9 @@
 
 #include <chrono>
 
-#include "kelplb/balancer.hpp"
+#include "ochregrade/balancer.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 class Clock {
 public:
@@ -33,4 +33,4 @@
     Millis skipped_ = 0, stepped_ = 0;
 };
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/close_reason.hpp
+++ b/src/net/close_reason.hpp
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <string_view>
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 enum class CloseReason : std::size_t {
     peer_closed,     // the other side ended or broke it
@@ -31,4 +31,4 @@
     return kNames.at(static_cast<std::size_t>(reason));
 }
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -19,7 +19,7 @@
 #include "net/log.hpp"
 #include "settings.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 namespace {
 
@@ -45,8 +45,6 @@
 constexpr std::size_t kMostComplaints = 50;  // a file that is wrong throughout needs no more
 constexpr double kLongestTime = 1e9;         // in ms, over eleven days: beyond that clocks lose count
 constexpr int kReads = 5;
-// What the platform's file does not know stands here: its own fields may have any name.
-constexpr const char* kOwn = "cobaltshift";
 
 using Complaints = std::vector<Complaint>;
 
@@ -328,7 +326,7 @@
         for (const Field& peer : root["peers"].items()) c.peers.push_back(peer.endpoint<udp>());
     if (root.has("peers_all")) c.peers_all = root["peers_all"].endpoint<udp>();
     if (root.has("known")) c.known = hosts_at(root["known"]);
-    if (root.has(kOwn)) read_own(c, root[kOwn]);
+    if (root.has(kOwnSection)) read_own(c, root[kOwnSection]);
     read_settings(c, root["settings"]);
     if (complaints.empty()) {
         try {
@@ -348,7 +346,31 @@
     return c;
 }
 
-json document_of_file() { return parse_config(read_config_file(), "NODE_CONFIG"); }
+// Gives a section under its former name the present one; two sections contradict each other.
+void rename_former_section(json& document, const std::string& source) {
+    if (!document.is_object() || !document.contains(kFormerSection)) return;
+    if (document.contains(kOwnSection))
+        throw ConfigError(
+            source, std::string("has both ") + kOwnSection + " and " + kFormerSection + ", its former name");
+    document[kOwnSection] = std::move(document[kFormerSection]);
+    document.erase(kFormerSection);
+}
+
+// Once in a process, however often the file is read.
+void warn_of_former_section(const std::string& text) {
+    static bool warned = false;
+    if (warned || !json::parse(text, nullptr, false).contains(kFormerSection)) return;
+    warned = true;
+    log_line(std::string("the configuration's section ") + kFormerSection + " is now called " + kOwnSection +
+             "; the former name is read for one release more");
+}
+
+json document_of_file() {
+    const std::string text = read_config_file();
+    json document = parse_config(text, "NODE_CONFIG");
+    warn_of_former_section(text);
+    return document;
+}
 
 void put_variable(json& value, const char* variable, const char* field) {
     const char* text = std::getenv(variable);
@@ -394,7 +416,7 @@
 
 bool Config::shares() const {
     return fleet.enabled && settings.may_tell && peer_listen && settings.siblings > 1 &&
-           settings.siblings <= kelplb::fleet::kMostMembers && settings.my_number < settings.siblings &&
+           settings.siblings <= ochregrade::fleet::kMostMembers && settings.my_number < settings.siblings &&
            peers.size() >= settings.siblings;
 }
 
@@ -422,6 +444,7 @@
     if (depth_of(text) > kDeepest) fail("is nested too deep");
     json value = json::parse(text, nullptr, false);
     if (value.is_discarded()) fail("is not JSON");
+    rename_former_section(value, source);
     return value;
 }
 
@@ -477,10 +500,10 @@
     for (const char* field : {"name", "listen"})
         if (!candidate.contains(field) && running.contains(field)) candidate[field] = running.at(field);
     for (const char* field : {"admin", "state"}) {
-        if (!running.contains(kOwn) || !running.at(kOwn).contains(field)) continue;
-        json& own = candidate[kOwn];
+        if (!running.contains(kOwnSection) || !running.at(kOwnSection).contains(field)) continue;
+        json& own = candidate[kOwnSection];
         if (own.is_null()) own = json::object();
-        if (own.is_object() && !own.contains(field)) own[field] = running.at(kOwn).at(field);
+        if (own.is_object() && !own.contains(field)) own[field] = running.at(kOwnSection).at(field);
     }
 }
 
@@ -503,11 +526,11 @@
     };
     fixed("name", running.name, config.name);
     fixed("listen", running.listen, config.listen);
-    fixed("cobaltshift.admin.listen", running.admin, config.admin);
-    fixed("cobaltshift.state.dir", running.state_dir, config.state_dir);
+    fixed("ochregrade.admin.listen", running.admin, config.admin);
+    fixed("ochregrade.state.dir", running.state_dir, config.state_dir);
     if (!complaints.empty()) throw ConfigError(std::move(complaints));
     config.seed = running.seed;
     return config;
 }
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/config.hpp
+++ b/src/net/config.hpp
@@ -11,9 +11,9 @@
 #include <string_view>
 #include <vector>
 
-#include "kelplb/balancer.hpp"
+#include "ochregrade/balancer.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 using boost::asio::ip::tcp;
 using boost::asio::ip::udp;
@@ -101,7 +101,12 @@
 // Throws ConfigError with every complaint at once.
 Config read_config(const nlohmann::json& json);
 
-// Text to JSON, with bounds on size and depth. Throws ConfigError that names `source`.
+// The program's own section of the configuration, and its name up to version 0.1, read for one release more.
+constexpr const char* kOwnSection = "ochregrade";
+constexpr const char* kFormerSection = "cobaltshift";
+
+// Text to JSON, with bounds on size and depth. Throws ConfigError that names `source`. A section under its
+// former name gets the present one.
 nlohmann::json parse_config(std::string_view text, const std::string& source);
 
 // The text of the file that NODE_CONFIG names. One that is replaced meanwhile is read again.
@@ -120,4 +125,4 @@
 // it was, and complaints about those that differ. Unknown fields are refused if `strict`.
 Config read_candidate(nlohmann::json candidate, const Config& running, bool strict);
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -7,7 +7,7 @@
 #include "net/socket_io.hpp"
 #include "net/trace.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 namespace {
 // A watch may fall silent with nothing said, and shows it only when its wait is long over. What it misses
@@ -202,4 +202,4 @@
     });
 }
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/discovery.hpp
+++ b/src/net/discovery.hpp
@@ -11,7 +11,7 @@
 #include "net/http.hpp"
 #include "random.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 class Discovery {
 public:
@@ -69,4 +69,4 @@
     bool fetch_ = false;
 };
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- /dev/null
+++ b/src/net/environment.hpp
@@ -0,0 +1,16 @@
+// The program's own environment variables. Up to version 0.1 they were named COBALTSHIFT_*; those are read for
+// one release more.
+#pragma once
+
+#include <cstdlib>
+#include <string>
+
+namespace ochregrade::net {
+
+// The value of OCHREGRADE_<name>, else of its former name; null where neither is set.
+inline const char* own_variable(const std::string& name) {
+    if (const char* value = std::getenv(("OCHREGRADE_" + name).c_str())) return value;
+    return std::getenv(("COBALTSHIFT_" + name).c_str());
+}
+
+}  // namespace ochregrade::net
--- a/src/net/fields.cpp
+++ b/src/net/fields.cpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string_view>
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 namespace {
 
@@ -28,30 +28,30 @@
     {"peers[]", live, "address:port", "the sidecars of the tier by their numbers, this one included"},
     {"peers_all", live, "address:port", "reaches all of them"},
     {"known.*", start_only, "list", "the servers as last held, in discovery's form"},
-    {"cobaltshift.admin.listen", fixed, "address:port",
+    {"ochregrade.admin.listen", fixed, "address:port",
      "the operators' endpoint, on loopback only; none if absent"},
-    {"cobaltshift.state.dir", fixed, "path",
-     "the folder for durable state; none if absent; `COBALTSHIFT_STATE_DIR` goes before it"},
-    {"cobaltshift.state.lived_ms", start_only, "time",
+    {"ochregrade.state.dir", fixed, "path",
+     "the folder for durable state; none if absent; `OCHREGRADE_STATE_DIR` goes before it"},
+    {"ochregrade.state.lived_ms", start_only, "time",
      "a life as long as this is none of a crash loop's (2000)"},
-    {"cobaltshift.trial.bake_ms", live, "time",
+    {"ochregrade.trial.bake_ms", live, "time",
      "how long a new generation is on trial; 0 (if absent): not at all"},
-    {"cobaltshift.trial.margin", live, "share",
+    {"ochregrade.trial.margin", live, "share",
      "a trial ends badly when the share served falls by more than this (0.05)"},
-    {"cobaltshift.trial.min_samples", live, "whole number",
+    {"ochregrade.trial.min_samples", live, "whole number",
      "and is judged by no fewer answers than this (50)"},
-    {"cobaltshift.epoch", live, "whole number",
+    {"ochregrade.epoch", live, "whole number",
      "the version of the settings, higher with each change of them; 0 (if absent): they have none"},
-    {"cobaltshift.rollout.share", live, "share",
+    {"ochregrade.rollout.share", live, "share",
      "of the fleet that acts on this epoch (1); the others stay with the one before"},
-    {"cobaltshift.fleet.enabled", live, "flag",
+    {"ochregrade.fleet.enabled", live, "flag",
      "whether it takes part in the fleet's shared state (false); needs `peers` and a number below "
      "`siblings`"},
-    {"cobaltshift.fleet.agreement", live, "flag",
+    {"ochregrade.fleet.agreement", live, "flag",
      "whether it asks for newer settings and lists that others act on (true)"},
-    {"cobaltshift.fleet.probe_ms", live, "time", "how often another member is probed (1000)"},
-    {"cobaltshift.fleet.gossip_ms", live, "time", "how often news goes out while there is some (100)"},
-    {"cobaltshift.fleet.sync_ms", live, "time", "how often a digest is compared with another's (2000)"},
+    {"ochregrade.fleet.probe_ms", live, "time", "how often another member is probed (1000)"},
+    {"ochregrade.fleet.gossip_ms", live, "time", "how often news goes out while there is some (100)"},
+    {"ochregrade.fleet.sync_ms", live, "time", "how often a digest is compared with another's (2000)"},
     {"settings.classes[].name", live, "text", "the class, as in `X-Service-Class`"},
     {"settings.classes[].effect", live, "word", "`repeatable`, `by_key` or `once`"},
     {"settings.classes[].dedup-scope", live, "word", "`all`, `zone` or `cell`"},
@@ -189,4 +189,4 @@
     return text;
 }
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/form.cpp
+++ b/src/net/form.cpp
@@ -4,7 +4,7 @@
 #include <charconv>
 #include <cmath>
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 namespace {
 
@@ -81,4 +81,4 @@
     return {};
 }
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/generations.cpp
+++ b/src/net/generations.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cstdio>
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 void Generations::committed(SnapshotPtr snapshot, Source source, std::uint64_t content, const TrialRule& rule,
                             Millis now) {
@@ -141,4 +141,4 @@
     return "withdrawn";
 }
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/generations.hpp
+++ b/src/net/generations.hpp
@@ -10,7 +10,7 @@
 
 #include "net/config.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 // Never changed once it is in force: a request holds the one it began with to its end.
 struct Snapshot {
@@ -101,4 +101,4 @@
 const char* word(Generations::Source source);
 const char* word(Generations::State state);
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/keeper.cpp
+++ b/src/net/keeper.cpp
@@ -9,10 +9,11 @@
 #include <random>
 #include <sstream>
 
+#include "net/environment.hpp"
 #include "net/fields.hpp"
 #include "net/log.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 namespace {
 
@@ -63,6 +64,15 @@
 
 json text_at(const json& j, const char* field) { return parse_config(j.at(field).get<std::string>(), field); }
 
+// A document as this version writes it: a record of a version before may use a section's former name.
+std::string in_present_form(const std::string& document) {
+    try {
+        return parse_config(document, "file").dump();
+    } catch (const ConfigError&) {
+        return document;
+    }
+}
+
 std::string sense_of_config(const store::Record& record) {
     try {
         const json j = json::parse(record.payload);
@@ -98,10 +108,7 @@
     return {};
 }
 
-bool set(const char* variable) {
-    const char* text = std::getenv(variable);
-    return text && *text && std::string_view(text) != "0";
-}
+bool set(const char* text) { return text && *text && std::string_view(text) != "0"; }
 
 }  // namespace
 
@@ -165,7 +172,7 @@
         const json j = json::parse(record->payload);
         r.good = text_at(j, "good");
         r.next = j.at("next");
-        r.file = j.at("file");
+        r.file = in_present_form(j.at("file"));
         r.trial_lost = j.at("on_trial");
         for (const json& e : j.at("kept")) {
             auto snapshot = std::make_shared<Snapshot>();
@@ -252,10 +259,10 @@
                 json document = *recovered.good;
                 for (const char* field : {"name", "listen"}) document[field] = file->at(field);
                 const json mine = json::parse(s.file);
-                if (mine.contains("cobaltshift")) {
+                if (mine.contains("ochregrade")) {
                     for (const char* field : {"admin", "state"})
-                        if (mine["cobaltshift"].contains(field))
-                            document["cobaltshift"][field] = mine["cobaltshift"][field];
+                        if (mine["ochregrade"].contains(field))
+                            document["ochregrade"][field] = mine["ochregrade"][field];
                 }
                 const Millis lived = s.config.lived;
                 s.config = read_document(document, file->at("seed").get<std::string>(), known);
@@ -301,10 +308,10 @@
         fault = error;
         file.reset();
     }
-    if (const char* path = std::getenv("COBALTSHIFT_STATE_DIR"); path && *path) folder = path;
+    if (const char* path = own_variable("STATE_DIR"); path && *path) folder = path;
     std::unique_ptr<Keeper> keeper;
     Recovered recovered;
-    if (!folder.empty() && (!fault || set("COBALTSHIFT_LAST_KNOWN_GOOD"))) {
+    if (!folder.empty() && (!fault || set(own_variable("LAST_KNOWN_GOOD")))) {
         keeper = Keeper::open(folder);
         recovered = keeper->recover();
     }
@@ -320,4 +327,4 @@
     return s;
 }
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/keeper.hpp
+++ b/src/net/keeper.hpp
@@ -13,7 +13,7 @@
 #include "net/sidecar.hpp"
 #include "store/writer.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 // When something was written: by the wall clock, and by the time since this machine's start, which steps of
 // the wall clock don't touch.
@@ -86,4 +86,4 @@
 // The decision alone: what the file (or its fault) and the state amount to.
 Start decide_start(const std::optional<nlohmann::json>& file, const Recovered& recovered);
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -9,7 +9,7 @@
 #include "net/startup.hpp"
 #include "net/trace.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 namespace {
 
@@ -588,4 +588,4 @@
 
 bool Listener::busy() const { return !sessions_.empty(); }
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/listener.hpp
+++ b/src/net/listener.hpp
@@ -12,7 +12,7 @@
 #include "net/http.hpp"
 #include "net/sidecar.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 class Listener {
 public:
@@ -85,4 +85,4 @@
     bool stopped_ = false;
 };
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/log.hpp
+++ b/src/net/log.hpp
@@ -13,14 +13,14 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
-// {"t":"2026-12-01T20:56:21.123456Z","level":"info","name":"cobaltshift","msg":"..."}; not registered with
+// {"t":"2026-12-01T20:56:21.123456Z","level":"info","name":"ochregrade","msg":"..."}; not registered with
 // spdlog's registry, so that nothing else can reach or reconfigure it.
 inline spdlog::logger& log_sink() {
     static const std::shared_ptr<spdlog::logger> logger = [] {
-        auto made = std::make_shared<spdlog::logger>("cobaltshift",
-                                                     std::make_shared<spdlog::sinks::stderr_sink_st>());
+        auto made =
+            std::make_shared<spdlog::logger>("ochregrade", std::make_shared<spdlog::sinks::stderr_sink_st>());
         made->set_pattern(R"({"t":"%Y-%m-%dT%H:%M:%S.%fZ","level":"%l","name":"%n","msg":%v})",
                           spdlog::pattern_time_type::utc);
         made->flush_on(spdlog::level::trace);
@@ -62,4 +62,4 @@
     log_sink().info(nlohmann::json(line).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/node.cpp
+++ b/src/net/node.cpp
@@ -13,7 +13,7 @@
 #include "net/log.hpp"
 #include "net/startup.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 namespace {
 
@@ -75,11 +75,11 @@
 // Settings that count epochs go forward only, and an epoch means the same settings everywhere.
 void check_epoch(const Config& config, const Snapshot& running) {
     if (config.epoch < running.epoch)
-        throw ConfigError("cobaltshift.epoch", "goes back from " + std::to_string(running.epoch) +
-                                                   ": what was before needs a newer epoch too");
+        throw ConfigError("ochregrade.epoch", "goes back from " + std::to_string(running.epoch) +
+                                                  ": what was before needs a newer epoch too");
     if (config.epoch > 0 && config.epoch == running.epoch &&
         config.settings_hash != running.config.settings_hash)
-        throw ConfigError("cobaltshift.epoch", "is in force already, with other settings");
+        throw ConfigError("ochregrade.epoch", "is in force already, with other settings");
 }
 
 Change refusal(std::uint64_t generation, std::vector<Complaint> complaints) {
@@ -169,7 +169,7 @@
     };
     listener_.listen(config.listen);
     if (config.admin)
-        admin_ = listen_patiently("cobaltshift.admin.listen", *config.admin,
+        admin_ = listen_patiently("ochregrade.admin.listen", *config.admin,
                                   [&] { return std::make_unique<Admin>(io, *this, *config.admin); });
     sidecar_.start();
     if (!start.recovered.learnt.empty()) sidecar_.recall(start.recovered.learnt);
@@ -305,7 +305,7 @@
     const nlohmann::json now = nlohmann::json::parse(running.document);
     for (const char* field : {"name", "listen"}) document[field] = now.at(field);
     for (const char* field : {"admin", "state"}) {
-        if (document.contains("cobaltshift")) document["cobaltshift"].erase(field);
+        if (document.contains("ochregrade")) document["ochregrade"].erase(field);
     }
     keep_fixed(document, now);
     return prepare(read_candidate(document, running, false));
@@ -516,4 +516,4 @@
     });
 }
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/node.hpp
+++ b/src/net/node.hpp
@@ -12,7 +12,7 @@
 #include "net/peers.hpp"
 #include "net/shared.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 class Admin;
 
@@ -121,4 +121,4 @@
     Millis tell_off_at_ = 0, stop_at_ = 0;
 };
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -4,7 +4,7 @@
 
 #include "net/log.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 Peers::Peers(asio::io_context& io, const udp::endpoint& at, Heard heard)
     : at_(at), heard_(std::move(heard)), socket_(io, at) {
@@ -42,4 +42,4 @@
         });
 }
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/requests_ahead.cpp
+++ b/src/net/requests_ahead.cpp
@@ -5,7 +5,7 @@
 
 #include "net/form.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 std::vector<Millis> times_of_whole_requests(asio::const_buffer bytes) {
     std::vector<Millis> times;
@@ -41,4 +41,4 @@
     return *first;
 }
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/requests_ahead.hpp
+++ b/src/net/requests_ahead.hpp
@@ -6,10 +6,10 @@
 #include <optional>
 #include <vector>
 
-#include "kelplb/balancer.hpp"
 #include "net/http.hpp"
+#include "ochregrade/balancer.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 // X-Time-Left of each whole request in `bytes`, milliseconds, in their order; infinite where it has none that
 // can be read. What follows a chunked request is not looked at.
@@ -30,4 +30,4 @@
     std::deque<Millis> deadlines_;
 };
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/rule_guard.cpp
+++ b/src/net/rule_guard.cpp
@@ -5,7 +5,7 @@
 
 #include "net/log.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 namespace {
 
@@ -103,4 +103,4 @@
     log_line("rule violated: " + std::string(name_of(violation)));
 }
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/rule_guard.hpp
+++ b/src/net/rule_guard.hpp
@@ -11,9 +11,9 @@
 #include <string_view>
 #include <vector>
 
-#include "kelplb/balancer.hpp"
+#include "ochregrade/balancer.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 // Why an attempt is not written.
 enum class Withheld : std::size_t {
@@ -106,4 +106,4 @@
     Counts counts_;
 };
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/shared.cpp
+++ b/src/net/shared.cpp
@@ -7,7 +7,7 @@
 
 #include "net/log.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 namespace {
 
@@ -149,4 +149,4 @@
     });
 }
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/shared.hpp
+++ b/src/net/shared.hpp
@@ -10,7 +10,7 @@
 #include "net/config.hpp"
 #include "net/http.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 class Shared {
 public:
@@ -62,4 +62,4 @@
 // What another process under the same name did is no evidence against this one: its start is part of the key.
 fleet::ServerKey server_key(ServerId server, Millis born);
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/sidecar.cpp
+++ b/src/net/sidecar.cpp
@@ -11,7 +11,7 @@
 #include "net/peers.hpp"
 #include "net/shared.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 std::string_view name_of(EndReason reason) {
     constexpr std::array<std::string_view, static_cast<std::size_t>(EndReason::count)> kNames = {
@@ -476,4 +476,4 @@
     log_line((at == servers_.end() ? std::string() : at->second.name + " ") + a.text);
 }
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/sidecar.hpp
+++ b/src/net/sidecar.hpp
@@ -15,7 +15,6 @@
 #include <vector>
 
 #include "fleet/records.hpp"
-#include "kelplb/balancer.hpp"
 #include "net/clock.hpp"
 #include "net/config.hpp"
 #include "net/generations.hpp"
@@ -24,8 +23,9 @@
 #include "net/start_times.hpp"
 #include "net/trace.hpp"
 #include "net/upstream.hpp"
+#include "ochregrade/balancer.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 class Discovery;
 class Peers;
@@ -214,4 +214,4 @@
     bool holds_list_ = false;
 };
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/socket_io.hpp
+++ b/src/net/socket_io.hpp
@@ -11,7 +11,7 @@
 
 #include "net/http.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 // No error and fewer bytes than asked for: no more for now.
 struct Transfer {
@@ -92,4 +92,4 @@
     return text;
 }
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/start_times.hpp
+++ b/src/net/start_times.hpp
@@ -6,9 +6,9 @@
 #include <cmath>
 #include <vector>
 
-#include "kelplb/balancer.hpp"
+#include "ochregrade/balancer.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 class StartTimes {
 public:
@@ -40,4 +40,4 @@
     std::vector<Millis> errors_ = {0};  // the first is that of the process's start
 };
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/startup.hpp
+++ b/src/net/startup.hpp
@@ -10,7 +10,7 @@
 #include "net/http.hpp"
 #include "net/log.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 // A start is ready within 6 s where it can be; waiting longer would only hide the fault.
 constexpr std::chrono::seconds kStartPatience{4};
@@ -53,4 +53,4 @@
     }
 }
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/trace.cpp
+++ b/src/net/trace.cpp
@@ -7,9 +7,10 @@
 #include <cstdlib>
 #include <memory>
 
+#include "net/environment.hpp"
 #include "net/log.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 namespace {
 
@@ -23,7 +24,7 @@
 class TraceFile {
 public:
     TraceFile() {
-        const char* path = std::getenv("COBALTSHIFT_TRACE");
+        const char* path = own_variable("TRACE");
         if (!path || !*path) return;
         try {
             file_ = std::make_unique<spdlog::logger>(
@@ -64,4 +65,4 @@
     trace_file().write(line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/trace.hpp
+++ b/src/net/trace.hpp
@@ -1,5 +1,5 @@
 // A trace of every state change of a request and a connection, one JSON object a line, for finding out
-// afterwards what happened to a request id. Off unless COBALTSHIFT_TRACE names a file; bounded in size.
+// afterwards what happened to a request id. Off unless OCHREGRADE_TRACE names a file; bounded in size.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 // Whether events are wanted: callers ask before they build one.
 bool tracing();
@@ -16,4 +16,4 @@
 void trace_event(std::string_view event,
                  const std::vector<std::pair<std::string_view, nlohmann::json>>& fields);
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/upstream.cpp
+++ b/src/net/upstream.cpp
@@ -6,7 +6,7 @@
 #include "net/log.hpp"
 #include "net/socket_io.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 namespace {
 constexpr std::size_t kReadSize = 4096;
@@ -438,4 +438,4 @@
     for (const LinkPtr& link : links) drop(link, CloseReason::retired);
 }
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/net/upstream.hpp
+++ b/src/net/upstream.hpp
@@ -9,12 +9,12 @@
 #include <string>
 #include <unordered_map>
 
-#include "kelplb/balancer.hpp"
 #include "net/clock.hpp"
 #include "net/close_reason.hpp"
 #include "net/http.hpp"
+#include "ochregrade/balancer.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 struct AttemptKey {
     RequestId id = 0;
@@ -108,4 +108,4 @@
     CloseCounts closes_{};
 };
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/src/random.hpp
+++ b/src/random.hpp
@@ -4,7 +4,7 @@
 #include <cstddef>
 #include <cstdint>
 
-namespace kelplb {
+namespace ochregrade {
 
 class Random {
 public:
@@ -22,4 +22,4 @@
     std::uint64_t state_;
 };
 
-}  // namespace kelplb
+}  // namespace ochregrade
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -3,12 +3,12 @@
 #include <cmath>
 #include <stdexcept>
 
-namespace kelplb {
+namespace ochregrade {
 
 namespace {
 
 void check(bool sound, const std::string& setting) {
-    if (!sound) throw std::invalid_argument("kelplb: setting makes no sense: " + setting);
+    if (!sound) throw std::invalid_argument("ochregrade: setting makes no sense: " + setting);
 }
 void check_amount(double value, const std::string& name) { check(std::isfinite(value) && value >= 0, name); }
 
@@ -34,4 +34,4 @@
     check_amount(s.fees.probe, "fees.probe");
 }
 
-}  // namespace kelplb
+}  // namespace ochregrade
--- a/src/settings.hpp
+++ b/src/settings.hpp
@@ -1,11 +1,11 @@
 // Whether settings make sense. Nothing here decides anything about a request.
 #pragma once
 
-#include "kelplb/balancer.hpp"
+#include "ochregrade/balancer.hpp"
 
-namespace kelplb {
+namespace ochregrade {
 
 // Throws std::invalid_argument naming the first setting that makes no sense.
 void validate(const Settings& settings);
 
-}  // namespace kelplb
+}  // namespace ochregrade
--- a/src/simhost.cpp
+++ b/src/simhost.cpp
@@ -5,5 +5,5 @@
 
 int main() {
     std::ios::sync_with_stdio(false);
-    return kelplb::wire::Host(std::cin, std::cout, std::cerr).run();
+    return ochregrade::wire::Host(std::cin, std::cout, std::cerr).run();
 }
--- a/src/store/folder.cpp
+++ b/src/store/folder.cpp
@@ -8,7 +8,7 @@
 
 #include <cerrno>
 
-namespace kelplb::store {
+namespace ochregrade::store {
 
 namespace {
 
@@ -118,4 +118,4 @@
     return {std::move(folder), 0};
 }
 
-}  // namespace kelplb::store
+}  // namespace ochregrade::store
--- a/src/store/folder.hpp
+++ b/src/store/folder.hpp
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-namespace kelplb::store {
+namespace ochregrade::store {
 
 class Folder {
 public:
@@ -34,4 +34,4 @@
 };
 OpenedFolder open_folder(const std::string& path);
 
-}  // namespace kelplb::store
+}  // namespace ochregrade::store
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -5,7 +5,7 @@
 #include <charconv>
 #include <cstring>
 
-namespace kelplb::store {
+namespace ochregrade::store {
 
 namespace {
 
@@ -210,4 +210,4 @@
     }
 }
 
-}  // namespace kelplb::store
+}  // namespace ochregrade::store
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -13,7 +13,7 @@
 
 #include "store/folder.hpp"
 
-namespace kelplb::store {
+namespace ochregrade::store {
 
 struct Record {
     std::string kind;  // lower-case letters; part of the file's name
@@ -70,4 +70,4 @@
     std::map<std::string, std::vector<std::uint64_t>> ours_;  // records known to be good, oldest first
 };
 
-}  // namespace kelplb::store
+}  // namespace ochregrade::store
--- a/src/store/writer.cpp
+++ b/src/store/writer.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace kelplb::store {
+namespace ochregrade::store {
 
 namespace {
 constexpr int kMostDoublings = 6;
@@ -82,4 +82,4 @@
     s.changed.notify_all();
 }
 
-}  // namespace kelplb::store
+}  // namespace ochregrade::store
--- a/src/store/writer.hpp
+++ b/src/store/writer.hpp
@@ -12,7 +12,7 @@
 
 #include "store/store.hpp"
 
-namespace kelplb::store {
+namespace ochregrade::store {
 
 class Writer {
 public:
@@ -50,4 +50,4 @@
     std::thread thread_;
 };
 
-}  // namespace kelplb::store
+}  // namespace ochregrade::store
--- a/src/wire.cpp
+++ b/src/wire.cpp
@@ -8,7 +8,7 @@
 
 #include "names.hpp"
 
-namespace kelplb::wire {
+namespace ochregrade::wire {
 
 namespace {
 
@@ -272,7 +272,7 @@
             batch(mark);
         }
     } catch (const WireError& error) {
-        err_ << "kelplb_simhost: " << error.what() << '\n';
+        err_ << "ochregrade_adapter: " << error.what() << '\n';
         return 2;
     }
     return 0;
@@ -302,7 +302,7 @@
     if (std::find(known.begin(), known.end(), kind) == known.end()) {
         if (std::find(unknown_kinds_.begin(), unknown_kinds_.end(), kind) == unknown_kinds_.end()) {
             unknown_kinds_.emplace_back(kind);
-            err_ << "kelplb_simhost: line " << line_ << ": unknown event " << kind << " skipped\n";
+            err_ << "ochregrade_adapter: line " << line_ << ": unknown event " << kind << " skipped\n";
         }
         return;
     }
@@ -498,4 +498,4 @@
     reply_ += '\n';
 }
 
-}  // namespace kelplb::wire
+}  // namespace ochregrade::wire
--- a/src/wire.hpp
+++ b/src/wire.hpp
@@ -12,9 +12,9 @@
 #include <utility>
 #include <vector>
 
-#include "kelplb/balancer.hpp"
+#include "ochregrade/balancer.hpp"
 
-namespace kelplb::wire {
+namespace ochregrade::wire {
 
 // A line that can't be read; what() names line number, message and field.
 struct WireError : std::runtime_error {
@@ -97,4 +97,4 @@
     std::vector<Action> actions_;
 };
 
-}  // namespace kelplb::wire
+}  // namespace ochregrade::wire
--- a/tests/agreement_test.cpp
+++ b/tests/agreement_test.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-using namespace kelplb::fleet;
-using kelplb::lab::Network;
-using kelplb::lab::SimFleet;
+using namespace ochregrade::fleet;
+using ochregrade::lab::Network;
+using ochregrade::lab::SimFleet;
 
 std::vector<Place> claims(std::initializer_list<Place> all) { return all; }
 
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -4,7 +4,7 @@
 
 #include "rig.hpp"
 
-namespace kelplb::test {
+namespace ochregrade::test {
 namespace {
 
 // A rig with `count` warm servers and one long-lived class.
@@ -390,4 +390,4 @@
 }
 
 }  // namespace
-}  // namespace kelplb::test
+}  // namespace ochregrade::test
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -7,7 +7,7 @@
 #include "net/generations.hpp"
 #include "net_rig.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 namespace {
 
 using Source = Generations::Source;
@@ -19,7 +19,7 @@
     config["peer_listen"] = "127.0.0.1:7946";
     config["peers"] = {"127.0.0.1:7946", "127.0.0.2:7946"};
     config["peers_all"] = "127.0.0.255:7946";
-    config["cobaltshift"]["trial"] = {{"bake_ms", 5000}, {"margin", 0.1}, {"min_samples", 20}};
+    config["ochregrade"]["trial"] = {{"bake_ms", 5000}, {"margin", 0.1}, {"min_samples", 20}};
     config["settings"]["azs"] = {"a", "b"};
     config["settings"]["my-zone"] = "a";
     config["settings"]["goal"] = {{"whole", 0.4}};
@@ -39,11 +39,32 @@
 }
 
 TEST(Fields, TheDocsSayWhatTheTableSays) {
-    std::ifstream file(KELPLB_DOCS "/CONFIGURATION.md");
+    std::ifstream file(OCHREGRADE_DOCS "/CONFIGURATION.md");
     std::stringstream text;
     text << file.rdbuf();
     EXPECT_NE(text.str().find(fields_as_markdown()), std::string::npos)
-        << "put what cobaltshift --fields prints into docs/CONFIGURATION.md";
+        << "put what ochregrade --fields prints into docs/CONFIGURATION.md";
+}
+
+// What a version before 0.2 called the program's own section.
+json under_former_name(json config) {
+    config[kFormerSection] = config[kOwnSection];
+    config.erase(kOwnSection);
+    return config;
+}
+
+TEST(FormerSection, IsReadAsThePresentOne) {
+    const std::string text = under_former_name(everything()).dump();
+    const Config config = read_config(parse_config(text, "the file"));
+    EXPECT_EQ(config.trial.bake, 5000);
+    EXPECT_EQ(config.document, read_config(everything()).document);
+}
+
+TEST(FormerSection, BesideThePresentOneIsAnError) {
+    json config = everything();
+    config[kFormerSection] = config[kOwnSection];
+    EXPECT_EQ(complaints_of([&] { parse_config(config.dump(), "the file"); }),
+              std::vector<std::string>{"the file has both ochregrade and cobaltshift, its former name"});
 }
 
 TEST(Fields, UnknownOnesAreNamedByTheirPath) {
@@ -78,12 +99,12 @@
     config["settings"]["limits"]["max-attempts"] = 0;
     config["settings"]["rules"]["cold-from"] = 1.5;
     config["settings"]["siblings"] = -3;
-    config["cobaltshift"]["admin"]["listen"] = "10.0.0.1:80";
+    config["ochregrade"]["admin"]["listen"] = "10.0.0.1:80";
     EXPECT_EQ(
         complaints_of([&] { read_config(config); }),
         (std::vector<std::string>{
             "name is missing", "discovery is not a text", "limits.sockets is under 64, too few to serve with",
-            "peers[1] is not address:port", "cobaltshift.admin.listen is not a loopback address",
+            "peers[1] is not address:port", "ochregrade.admin.listen is not a loopback address",
             "settings.classes[0].on-time-ms must be over 0", "settings.classes[1].effect is not a known word",
             "settings.classes[2].name is the name of another class too",
             "settings.siblings is not a whole number", "settings.limits.max-attempts must be over 0",
@@ -92,7 +113,7 @@
 
 TEST(Candidate, FixedFieldsMayNotChangeAndStartOnlyOnesDoNotMatter) {
     json config = everything();
-    config["cobaltshift"]["admin"]["listen"] = "127.0.0.1:0";
+    config["ochregrade"]["admin"]["listen"] = "127.0.0.1:0";
     const Config running = read_config(config);
     json next = config;
     next["seed"] = "ff";
@@ -100,15 +121,15 @@
     EXPECT_EQ(read_candidate(next, running, true).document, running.document);
     EXPECT_EQ(read_candidate(next, running, true).seed, running.seed);
     for (const char* field : {"name", "listen", "seed", "known"}) next.erase(field);
-    next["cobaltshift"].erase("admin");
+    next["ochregrade"].erase("admin");
     EXPECT_EQ(read_candidate(next, running, true).document, running.document) << "left out: as it was";
     next["name"] = "n1";
     next["listen"] = "127.0.0.1:9";
-    next["cobaltshift"]["admin"]["listen"] = "127.0.0.1:9";
+    next["ochregrade"]["admin"]["listen"] = "127.0.0.1:9";
     EXPECT_EQ(complaints_of([&] { read_candidate(next, running, true); }),
               (std::vector<std::string>{"name can't change while the program runs",
                                         "listen can't change while the program runs",
-                                        "cobaltshift.admin.listen can't change while the program runs"}));
+                                        "ochregrade.admin.listen can't change while the program runs"}));
 }
 
 TEST(Candidate, UnknownFieldsAreToleratedFromTheFileAndRefusedFromOperators) {
@@ -123,10 +144,10 @@
 TEST(Candidate, WhatIsNoObjectIsSaidToBeNone) {
     json config = everything();
     config["limits"] = 5;
-    config["cobaltshift"] = json::array();
+    config["ochregrade"] = json::array();
     config["settings"]["rules"] = "strict";
     EXPECT_EQ(complaints_of([&] { read_config(config); }),
-              (std::vector<std::string>{"limits is not an object", "cobaltshift is not an object",
+              (std::vector<std::string>{"limits is not an object", "ochregrade is not an object",
                                         "settings.rules is not an object"}));
 }
 
@@ -358,4 +379,4 @@
 }
 
 }  // namespace
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/tests/crash_test.cpp
+++ b/tests/crash_test.cpp
@@ -1,7 +1,7 @@
 // The real program, killed while it serves and while its configuration changes, and started again.
 #include "process_rig.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 namespace {
 
 TEST(Killed, WhileItServesAndChangesItComesBackWithTheOldOrTheNewConfiguration) {
@@ -67,7 +67,7 @@
     process->end(SIGKILL);
     json next = f.config;
     next["settings"]["limits"]["max-attempts"] = 7;
-    next["cobaltshift"]["trial"] = {{"bake_ms", 60000}};
+    next["ochregrade"]["trial"] = {{"bake_ms", 60000}};
     f.place.write(next.dump());
     // Accepted as it is at the start: there is nothing to compare it with.
     process = f.start();
@@ -137,7 +137,7 @@
 
 TEST(PlannedStops, AreNoCrashLoopHoweverSoonTheyCome) {
     Fixture f;
-    f.config["cobaltshift"]["state"]["lived_ms"] = 3600000;
+    f.config["ochregrade"]["state"]["lived_ms"] = 3600000;
     f.place.write(f.config.dump());
     for (int life = 0; life < Keeper::kShortLives + 2; ++life) EXPECT_EQ(f.start()->end(SIGTERM), 0);
     EXPECT_EQ(f.place.log().find("lives were short"), std::string::npos) << f.place.log();
@@ -151,10 +151,10 @@
     f.wait_for_the_disk();
     process->end(SIGKILL);
     f.place.write("{\"name\":");
-    const std::string where = "COBALTSHIFT_STATE_DIR=" + f.place.state();
+    const std::string where = "OCHREGRADE_STATE_DIR=" + f.place.state();
     EXPECT_EQ(Process(f.place, {where}).end(0), 2);
     EXPECT_NE(f.place.log().find("NODE_CONFIG is not JSON"), std::string::npos);
-    process = f.start({where, "COBALTSHIFT_LAST_KNOWN_GOOD=1"});
+    process = f.start({where, "OCHREGRADE_LAST_KNOWN_GOOD=1"});
     EXPECT_NE(f.place.log().find("last known good configuration steps in"), std::string::npos);
     EXPECT_EQ(Operator(f.admin).get("/v1/config").at("source"), "recovery");
     EXPECT_EQ(try_asking(f.listen, App::request("listen")), 200u);
@@ -167,12 +167,12 @@
     json other = f.config;
     const tcp::endpoint at = free_port();
     other["listen"] = text_of(at);
-    other["cobaltshift"]["admin"]["listen"] = text_of(free_port());
+    other["ochregrade"]["admin"]["listen"] = text_of(free_port());
     f.place.write(other.dump());
     Process second(f.place, {});
     ASSERT_TRUE(until([&] { return try_asking(at, kHealth) == 200; }));
     EXPECT_NE(f.place.log().find("another process has it"), std::string::npos);
-    const std::string second_admin = other["cobaltshift"]["admin"]["listen"];
+    const std::string second_admin = other["ochregrade"]["admin"]["listen"];
     const json state = Operator(endpoint_of(second_admin)).get("/v1/status").at("state");
     EXPECT_EQ(state.at("usable"), false);
     EXPECT_EQ(state.at("why"), "another process has it");
@@ -182,4 +182,4 @@
 }
 
 }  // namespace
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/tests/decode_fuzz.cpp
+++ b/tests/decode_fuzz.cpp
@@ -1,5 +1,5 @@
 // A fuzz target for whatever may come in a datagram: decoded, written again, and heard by a replica.
-// With libFuzzer: -DKELPLB_FUZZ=ON (clang). Without, main() below plays the corpus and a fixed number of
+// With libFuzzer: -DOCHREGRADE_FUZZ=ON (clang). Without, main() below plays the corpus and a fixed number of
 // mutations of it, the same every time.
 #include <algorithm>
 #include <cstdio>
@@ -11,7 +11,7 @@
 
 #include "fleet/replica.hpp"
 
-using namespace kelplb::fleet;
+using namespace ochregrade::fleet;
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     const std::span<const std::uint8_t> bytes(data, size);
@@ -41,7 +41,7 @@
     return 0;
 }
 
-#ifndef KELPLB_LIBFUZZER
+#ifndef OCHREGRADE_LIBFUZZER
 int main(int argc, char** argv) {
     if (argc != 3) return 2;
     std::vector<std::filesystem::path> files;
--- a/tests/endings_test.cpp
+++ b/tests/endings_test.cpp
@@ -7,7 +7,7 @@
 #include "net/requests_ahead.hpp"
 #include "net_rig.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 namespace {
 
 using std::chrono::steady_clock;
@@ -847,4 +847,4 @@
 }
 
 }  // namespace
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/tests/example.cpp
+++ b/tests/example.cpp
@@ -1,10 +1,10 @@
-// How a sidecar uses kelplb: feed events with their time, carry out the actions. Here one request is
+// How a sidecar uses ochregrade: feed events with their time, carry out the actions. Here one request is
 // taken, sent, fails before it ran, is sent elsewhere and served.
 #include <iostream>
 
-#include "kelplb/balancer.hpp"
+#include "ochregrade/balancer.hpp"
 
-using namespace kelplb;
+using namespace ochregrade;
 
 int main() {
     Settings settings;
--- a/tests/fault_test.cpp
+++ b/tests/fault_test.cpp
@@ -6,7 +6,7 @@
 #include "process_rig.hpp"
 #include "soak/fault_slots.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 namespace {
 
 using namespace fault_shim;
@@ -24,7 +24,7 @@
     void set(Slot slot, double value) { slots_[slot] = value; }
     double injected(Slot fault) const { return slots_[kInjected + fault]; }
     std::vector<std::string> environment() const {
-        return {"LD_PRELOAD=" KELPLB_FAULT_SHIM, "FAULT_SHIM_CONTROL=" + path_, "FAULT_SHIM_SEED=7",
+        return {"LD_PRELOAD=" OCHREGRADE_FAULT_SHIM, "FAULT_SHIM_CONTROL=" + path_, "FAULT_SHIM_SEED=7",
                 "ASAN_OPTIONS=verify_asan_link_order=0:detect_leaks=0"};
     }
 
@@ -197,4 +197,4 @@
 }
 
 }  // namespace
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/tests/fleet_state_test.cpp
+++ b/tests/fleet_state_test.cpp
@@ -9,7 +9,7 @@
 #include "fleet/replica.hpp"
 #include "lab/simnet.hpp"
 
-namespace kelplb::fleet {
+namespace ochregrade::fleet {
 // Equality of all that is held, not only of what the fingerprint covers.
 template <class Value>
 bool operator==(const Record<Value>& a, const Record<Value>& b) {
@@ -19,13 +19,13 @@
     return a.standing() == b.standing() && a.floor() == b.floor() && a.evidence() == b.evidence() &&
            a.versions() == b.versions();
 }
-}  // namespace kelplb::fleet
+}  // namespace ochregrade::fleet
 
 namespace {
 
-using namespace kelplb::fleet;
-using kelplb::lab::Network;
-using kelplb::lab::SimFleet;
+using namespace ochregrade::fleet;
+using ochregrade::lab::Network;
+using ochregrade::lab::SimFleet;
 
 // One write that may reach a holder: few lives, keys and counts, so that they meet often, and the same count
 // may stand for two values, as a forger would have it.
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -3,7 +3,7 @@
 
 #include "rig.hpp"
 
-namespace kelplb::test {
+namespace ochregrade::test {
 namespace {
 
 // Many light sidecars, each with the same warm servers and one that has just started; each has a few
@@ -496,4 +496,4 @@
 }
 
 }  // namespace
-}  // namespace kelplb::test
+}  // namespace ochregrade::test
--- a/tests/keeper_test.cpp
+++ b/tests/keeper_test.cpp
@@ -2,7 +2,7 @@
 #include "net_rig.hpp"
 #include "sim_folder.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 namespace {
 
 using store::SimFolder;
@@ -208,7 +208,7 @@
 TEST(StartsWith, WhatOperatorsDidSinceTheFileLastSpoke) {
     json file = base();
     file["seed"] = "77";
-    file["cobaltshift"]["state"]["lived_ms"] = 5;
+    file["ochregrade"]["state"]["lived_ms"] = 5;
     const Start s = decide_start(file, left_by(changed(), file));
     EXPECT_EQ(s.config.settings.max_attempts, 2u);
     EXPECT_EQ(s.source, Generations::Source::recovery);
@@ -218,6 +218,29 @@
     EXPECT_EQ(s.file, document(file));
 }
 
+TEST(StartsWith, WhatOperatorsDidThoughAVersionBeforeNamedTheSectionOtherwise) {
+    Disk disk;
+    json file = base();
+    file[kOwnSection]["trial"] = {{"bake_ms", 5000}};
+    const auto in_former_words = [](const json& config) {
+        json written = json::parse(document(config));
+        written[kFormerSection] = written[kOwnSection];
+        written.erase(kOwnSection);
+        return written.dump();
+    };
+    json good = changed();
+    good[kOwnSection] = file[kOwnSection];
+    const json record = {{"good", in_former_words(good)},
+                         {"file", in_former_words(file)},
+                         {"next", 5},
+                         {"on_trial", false},
+                         {"kept", json::array()}};
+    store::Store(*disk.folder, [](const std::string&) {}).save("config", record.dump());
+    const Start s = decide_start(file, disk.recover());
+    EXPECT_EQ(s.source, Generations::Source::recovery);
+    EXPECT_EQ(s.config.settings.max_attempts, 2u);
+}
+
 TEST(StartsWith, TheLastKnownGoodWhereTheFileIsRefused) {
     const Start s = decide_start(std::nullopt, left_by(changed(), base()));
     EXPECT_EQ(s.config.document, document(changed()));
@@ -272,4 +295,4 @@
 }
 
 }  // namespace
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-using kelplb::lab::Experiment;
-using kelplb::lab::ExperimentError;
+using ochregrade::lab::Experiment;
+using ochregrade::lab::ExperimentError;
 
 struct Folder {
     Folder()
@@ -30,7 +30,7 @@
         return at;
     }
     Experiment experiment(const std::string& text) const {
-        return kelplb::lab::load_experiment(file(text).string());
+        return ochregrade::lab::load_experiment(file(text).string());
     }
     static inline int counter = 0;
     std::filesystem::path path;
@@ -39,7 +39,7 @@
 nlohmann::json played(const Experiment& e, const Folder& folder) {
     const auto log =
         std::make_shared<spdlog::logger>("test", std::make_shared<spdlog::sinks::null_sink_st>());
-    return kelplb::lab::run_experiment(e, {KELPLB_PROGRAM, folder.path / "run"}, log);
+    return ochregrade::lab::run_experiment(e, {OCHREGRADE_PROGRAM, folder.path / "run"}, log);
 }
 
 std::string field_of(const std::string& text) {
@@ -82,7 +82,7 @@
     EXPECT_DOUBLE_EQ(e.rate, 2.5);
     EXPECT_EQ(e.retries, 1);
     ASSERT_EQ(e.faults.size(), 1u);
-    EXPECT_EQ(e.faults[0].kind, kelplb::lab::Fault::Kind::partition);
+    EXPECT_EQ(e.faults[0].kind, ochregrade::lab::Fault::Kind::partition);
     EXPECT_TRUE(e.faults[0].inbound);
     EXPECT_FALSE(e.faults[0].outbound);
 }
@@ -106,27 +106,27 @@
 
 // Two runs at once on the same addresses gave two sidecars the same port; the second ended with exit code 2.
 TEST(LoopbackBlock, IsHeldByOneRunAtATime) {
-    using kelplb::lab::LoopbackBlock;
+    using ochregrade::lab::LoopbackBlock;
     const LoopbackBlock first, second;
     EXPECT_NE(first.address(0), second.address(0));
     EXPECT_NE(first.address(249), first.address(250));
 }
 
 TEST(Figures, JainsIndex) {
-    EXPECT_DOUBLE_EQ(kelplb::lab::jain({5, 5, 5, 5}), 1.0);
-    EXPECT_DOUBLE_EQ(kelplb::lab::jain({8, 0, 0, 0}), 0.25);
-    EXPECT_NEAR(kelplb::lab::jain({1, 2, 3}), 36.0 / 42.0, 1e-12);
-    EXPECT_DOUBLE_EQ(kelplb::lab::jain({}), 1.0);
+    EXPECT_DOUBLE_EQ(ochregrade::lab::jain({5, 5, 5, 5}), 1.0);
+    EXPECT_DOUBLE_EQ(ochregrade::lab::jain({8, 0, 0, 0}), 0.25);
+    EXPECT_NEAR(ochregrade::lab::jain({1, 2, 3}), 36.0 / 42.0, 1e-12);
+    EXPECT_DOUBLE_EQ(ochregrade::lab::jain({}), 1.0);
 }
 
 TEST(Figures, CorrelationIdsCarryTheSidecar) {
     for (const int sidecar : {0, 1, 299, 1999}) {
-        const std::string id = kelplb::lab::correlation_id(sidecar, 123456789);
+        const std::string id = ochregrade::lab::correlation_id(sidecar, 123456789);
         EXPECT_EQ(id.size(), 16u);
-        EXPECT_EQ(kelplb::lab::sidecar_of(id), sidecar);
+        EXPECT_EQ(ochregrade::lab::sidecar_of(id), sidecar);
     }
-    EXPECT_EQ(kelplb::lab::sidecar_of("not-one-of-ours!"), -1);
-    EXPECT_EQ(kelplb::lab::sidecar_of("abc"), -1);
+    EXPECT_EQ(ochregrade::lab::sidecar_of("not-one-of-ours!"), -1);
+    EXPECT_EQ(ochregrade::lab::sidecar_of("abc"), -1);
 }
 
 // Real processes: 16 sidecars and 8 servers on loopback; a quarter of the sidecars killed and started again,
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -24,7 +24,7 @@
     }
     ~Captured() { std::remove(path_.c_str()); }
     std::vector<std::string> lines() {
-        kelplb::net::log_sink().flush();
+        ochregrade::net::log_sink().flush();
         ::dup2(saved_, 2);
         ::close(saved_);
         std::vector<std::string> out;
@@ -40,28 +40,28 @@
 
 TEST(Log, EachLineIsAJsonObjectWhateverTheMessageHolds) {
     Captured captured;
-    kelplb::net::log_line("a peer said \"all dead\" \\ and\nmore\x01");
-    kelplb::net::log_line(std::string("bytes \xff\xfe that are no UTF-8"));
+    ochregrade::net::log_line("a peer said \"all dead\" \\ and\nmore\x01");
+    ochregrade::net::log_line(std::string("bytes \xff\xfe that are no UTF-8"));
     const auto lines = captured.lines();
     ASSERT_EQ(lines.size(), 2u);
     const auto first = nlohmann::json::parse(lines[0]);
     EXPECT_EQ(first.at("msg"), "a peer said \"all dead\" \\ and?more?");
     EXPECT_EQ(first.at("level"), "info");
-    EXPECT_EQ(first.at("name"), "cobaltshift");
+    EXPECT_EQ(first.at("name"), "ochregrade");
     EXPECT_EQ(first.at("t").get<std::string>().back(), 'Z');
     EXPECT_NO_THROW(nlohmann::json::parse(lines[1]));
 }
 
 TEST(Log, ABurstIsCutAndWhatWasLeftOutIsSaid) {
     Captured captured;
-    for (int i = 0; i < 1000; ++i) kelplb::net::log_line("line " + std::to_string(i));
+    for (int i = 0; i < 1000; ++i) ochregrade::net::log_line("line " + std::to_string(i));
     const auto lines = captured.lines();
     // The allowance is 100 lines and 2 a second; the test's earlier lines took some of it.
     EXPECT_LE(lines.size(), 105u);
     EXPECT_GE(lines.size(), 50u);
     Captured again;
     ::usleep(600 * 1000);  // one more line's worth of allowance
-    kelplb::net::log_line("after");
+    ochregrade::net::log_line("after");
     const auto later = again.lines();
     ASSERT_GE(later.size(), 2u);
     EXPECT_NE(nlohmann::json::parse(later[0]).at("msg").get<std::string>().find("lines left out"),
--- a/tests/net_rig.hpp
+++ b/tests/net_rig.hpp
@@ -22,7 +22,7 @@
 
 #include "net/node.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 using nlohmann::json;
 constexpr std::chrono::seconds kPatience{30};
@@ -331,7 +331,7 @@
     }
 
 private:
-    std::string path_ = testing::TempDir() + "kelplb_config_" + std::to_string(::getpid()) + ".json";
+    std::string path_ = testing::TempDir() + "ochregrade_config_" + std::to_string(::getpid()) + ".json";
 };
 
 // The application beside the sidecar.
@@ -460,4 +460,4 @@
     Upstream upstream;
 };
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -5,7 +5,7 @@
 
 #include "net_rig.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 namespace {
 
 using std::chrono::steady_clock;
@@ -1103,4 +1103,4 @@
 }
 
 }  // namespace
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/tests/process_rig.hpp
+++ b/tests/process_rig.hpp
@@ -10,13 +10,13 @@
 
 extern char** environ;
 
-namespace kelplb::net {
+namespace ochregrade::net {
 
 // What it has of this machine goes with it.
 class Place {
 public:
     Place() {
-        std::string name = testing::TempDir() + "kelplb_crash_XXXXXX";
+        std::string name = testing::TempDir() + "ochregrade_crash_XXXXXX";
         path = ::mkdtemp(name.data());
     }
     ~Place() { std::filesystem::remove_all(path); }
@@ -37,13 +37,13 @@
     Process(const Place& place, std::vector<std::string> more) {
         std::vector<std::string> variables = {"NODE_CONFIG=" + place.path + "/config.json"};
         for (char** v = environ; *v; ++v)
-            if (std::string(*v).rfind("NODE_", 0) != 0 && std::string(*v).rfind("COBALTSHIFT_", 0) != 0)
+            if (std::string(*v).rfind("NODE_", 0) != 0 && std::string(*v).rfind("OCHREGRADE_", 0) != 0)
                 variables.emplace_back(*v);
         for (auto& v : more) variables.push_back(std::move(v));
         std::vector<char*> env;
         for (auto& v : variables) env.push_back(v.data());
         env.push_back(nullptr);
-        std::string program = KELPLB_PROGRAM;
+        std::string program = OCHREGRADE_PROGRAM;
         char* arguments[] = {program.data(), nullptr};
         posix_spawn_file_actions_t files;
         posix_spawn_file_actions_init(&files);
@@ -138,8 +138,8 @@
         config = a_config(discovery.at(), {});
         config.erase("known");
         config["listen"] = text_of(listen);
-        config["cobaltshift"] = {{"admin", {{"listen", text_of(admin)}}},
-                                 {"state", {{"dir", place.state()}, {"lived_ms", 0}}}};
+        config["ochregrade"] = {{"admin", {{"listen", text_of(admin)}}},
+                                {"state", {{"dir", place.state()}, {"lived_ms", 0}}}};
         place.write(config.dump());
     }
     std::unique_ptr<Process> start(std::vector<std::string> more = {}) {
@@ -157,4 +157,4 @@
     }
 };
 
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 using boost::asio::ip::udp;
-using kelplb::lab::Relay;
+using ochregrade::lab::Relay;
 namespace asio = boost::asio;
 
 struct Rig {
@@ -50,8 +50,8 @@
         return from;
     }
     asio::io_context io;
-    kelplb::lab::Experiment experiment;
-    kelplb::lab::Recorder recorder{1, 3, 10};
+    ochregrade::lab::Experiment experiment;
+    ochregrade::lab::Recorder recorder{1, 3, 10};
     std::unique_ptr<Relay> relay;
     std::vector<udp::socket> peers;
 };
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -4,14 +4,14 @@
 
 #include "net_rig.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 namespace {
 
 using std::chrono::steady_clock;
 const std::string kNowhere = "127.0.0.1:1";
 
 json with_admin(json config) {
-    config["cobaltshift"]["admin"]["listen"] = "127.0.0.1:0";
+    config["ochregrade"]["admin"]["listen"] = "127.0.0.1:0";
     return config;
 }
 
@@ -61,14 +61,14 @@
     const std::vector<std::pair<std::string, json>> table = {
         {"name", damaged("/name", "n7")},
         {"listen", damaged("/listen", "127.0.0.1:5")},
-        {"cobaltshift.admin.listen", damaged("/cobaltshift/admin/listen", "127.0.0.1:5")},
+        {"ochregrade.admin.listen", damaged("/ochregrade/admin/listen", "127.0.0.1:5")},
         {"discovery", damaged("/discovery", "nowhere")},
         {"limits.sockets", damaged("/limits/sockets", 3)},
         {"limits.sockets", damaged("/limits/sockets", 1u << 30)},  // more than the system allows
         {"limits.memory_mb", damaged("/limits/memory_mb", -1)},
         {"peers[0]", damaged("/peers", json::array({"x"}))},
-        {"cobaltshift.trial.margin", damaged("/cobaltshift/trial/margin", 2)},
-        {"cobaltshift.trial.min_samples", damaged("/cobaltshift/trial/min_samples", 0)},
+        {"ochregrade.trial.margin", damaged("/ochregrade/trial/margin", 2)},
+        {"ochregrade.trial.min_samples", damaged("/ochregrade/trial/min_samples", 0)},
         {"settings.classes", damaged("/settings/classes", json::array())},
         {"settings.classes[0].effect", damaged("/settings/classes/0/effect", "twice")},
         {"settings.classes[1].on-time-ms", damaged("/settings/classes/1/on-time-ms", 0)},
@@ -249,21 +249,21 @@
     FakeServer server;
     FakeDiscovery discovery;
     json config = with_admin(a_config(discovery.at(), {host("s1", server.at())}));
-    config["cobaltshift"]["epoch"] = 3;
+    config["ochregrade"]["epoch"] = 3;
     Running sidecar(config);
     Operator ops(sidecar.admin);
     const auto refused = [&](const json& candidate) {
         const json said = ops.post("/v1/config", candidate, 422);
-        return said.dump().find("cobaltshift.epoch") != std::string::npos;
+        return said.dump().find("ochregrade.epoch") != std::string::npos;
     };
     json next = without_class(config, "listen");
     EXPECT_TRUE(refused(next)) << "the epoch in force says something else";
-    next["cobaltshift"]["epoch"] = 2;
+    next["ochregrade"]["epoch"] = 2;
     EXPECT_TRUE(refused(next)) << "back";
-    next["cobaltshift"].erase("epoch");
+    next["ochregrade"].erase("epoch");
     EXPECT_TRUE(refused(next)) << "away";
     EXPECT_EQ(ask(sidecar.at, "listen"), 200u);
-    next["cobaltshift"]["epoch"] = 4;
+    next["ochregrade"]["epoch"] = 4;
     EXPECT_EQ(ops.post("/v1/config", next).at("result"), "applied");
     EXPECT_EQ(ask(sidecar.at, "listen"), 400u);
     // A rollback is an epoch of its own: 5 is taken, what follows needs a newer one.
@@ -271,7 +271,7 @@
     EXPECT_EQ(ask(sidecar.at, "listen"), 200u);
     EXPECT_EQ(sidecar.in_loop([&] { return sidecar.node().sidecar().snapshot()->epoch; }), 5u);
     EXPECT_TRUE(refused(next));
-    next["cobaltshift"]["epoch"] = 6;
+    next["ochregrade"]["epoch"] = 6;
     EXPECT_EQ(ops.post("/v1/config", next).at("result"), "applied");
 }
 
@@ -279,16 +279,16 @@
     FakeServer server;
     FakeDiscovery discovery;
     json config = with_admin(a_config(discovery.at(), {host("s1", server.at())}));
-    config["cobaltshift"]["epoch"] = 1;
+    config["ochregrade"]["epoch"] = 1;
     Running sidecar(config);
     Operator ops(sidecar.admin);
     json next = without_class(config, "listen");
-    next["cobaltshift"]["epoch"] = 2;
-    next["cobaltshift"]["rollout"]["share"] = 0;
+    next["ochregrade"]["epoch"] = 2;
+    next["ochregrade"]["rollout"]["share"] = 0;
     EXPECT_EQ(ops.post("/v1/config", next).at("result"), "staged");
     EXPECT_EQ(ask(sidecar.at, "listen"), 200u);
     EXPECT_EQ(ops.get("/v1/config").at("generation"), 1);
-    next["cobaltshift"]["rollout"]["share"] = 1;
+    next["ochregrade"]["rollout"]["share"] = 1;
     EXPECT_EQ(ops.post("/v1/config", next).at("result"), "applied");
     EXPECT_EQ(ask(sidecar.at, "listen"), 400u);
 }
@@ -349,7 +349,7 @@
     FakeServer server;
     json config = with_admin(a_config(kNowhere, {host("s1", server.at())}));
     for (auto& c : config["settings"]["classes"]) c["give-up-ms"] = 100;
-    config["cobaltshift"]["trial"] = {{"bake_ms", 1500}, {"min_samples", 10}};
+    config["ochregrade"]["trial"] = {{"bake_ms", 1500}, {"min_samples", 10}};
     ConfigFile file(config.dump());
     Running sidecar(config);
     Operator ops(sidecar.admin);
@@ -590,9 +590,9 @@
         EXPECT_EQ(values.count(name), 0u) << line;
         values[name] = std::stod(line.substr(space + 1));
     }
-    EXPECT_EQ(values.at("cobaltshift_answers_total{result=\"served\"}"), 3);
-    EXPECT_EQ(values.at("cobaltshift_config_generation"), 1);
-    EXPECT_EQ(values.at("cobaltshift_servers"), 1);
+    EXPECT_EQ(values.at("ochregrade_answers_total{result=\"served\"}"), 3);
+    EXPECT_EQ(values.at("ochregrade_config_generation"), 1);
+    EXPECT_EQ(values.at("ochregrade_servers"), 1);
 }
 
 TEST(Endpoint, OutlivesNoiseAndCallersThatSayNothing) {
@@ -615,4 +615,4 @@
 }
 
 }  // namespace
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/tests/replay_test.cpp
+++ b/tests/replay_test.cpp
@@ -14,9 +14,9 @@
 #include <set>
 #include <string>
 
-#include "kelplb/balancer.hpp"
+#include "ochregrade/balancer.hpp"
 
-namespace kelplb {
+namespace ochregrade {
 namespace {
 
 constexpr int kLifetimes = 1200;
@@ -476,4 +476,4 @@
 }
 
 }  // namespace
-}  // namespace kelplb
+}  // namespace ochregrade
--- a/tests/rig.hpp
+++ b/tests/rig.hpp
@@ -9,9 +9,9 @@
 #include <set>
 #include <vector>
 
-#include "kelplb/balancer.hpp"
+#include "ochregrade/balancer.hpp"
 
-namespace kelplb::test {
+namespace ochregrade::test {
 
 inline RequestClass make_class(Effect effect, DedupScope scope = DedupScope::all, Millis window = 3000) {
     RequestClass c;
@@ -248,4 +248,4 @@
     }
 };
 
-}  // namespace kelplb::test
+}  // namespace ochregrade::test
--- a/tests/rule_guard_test.cpp
+++ b/tests/rule_guard_test.cpp
@@ -4,7 +4,7 @@
 
 #include <gtest/gtest.h>
 
-namespace kelplb::net {
+namespace ochregrade::net {
 namespace {
 
 RequestFacts request_of(Effect effect) {
@@ -92,4 +92,4 @@
 }
 
 }  // namespace
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -2,7 +2,7 @@
 // The sequences pick outcomes at random; no server is modelled here.
 #include "rig.hpp"
 
-namespace kelplb::test {
+namespace ochregrade::test {
 namespace {
 
 class Dice {
@@ -369,4 +369,4 @@
 }
 
 }  // namespace
-}  // namespace kelplb::test
+}  // namespace ochregrade::test
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -5,6 +5,6 @@
 cd "$(dirname "$0")/.."
 folder=${1:-build-tests}
 shift || true
-cmake -S . -B "$folder" -DKELPLB_TESTS=ON -DKELPLB_LAB=ON "$@"
+cmake -S . -B "$folder" -DOCHREGRADE_TESTS=ON -DOCHREGRADE_LAB=ON "$@"
 cmake --build "$folder" -j"$(nproc)"
 tests/verdict.sh "$folder"
--- a/tests/share_test.cpp
+++ b/tests/share_test.cpp
@@ -1,7 +1,7 @@
 // What the module makes of the evidence that sidecars share, and what it shares itself.
 #include "rig.hpp"
 
-namespace kelplb::test {
+namespace ochregrade::test {
 namespace {
 
 constexpr ServerId kServers = 40;
@@ -180,4 +180,4 @@
 }
 
 }  // namespace
-}  // namespace kelplb::test
+}  // namespace ochregrade::test
--- a/tests/sim_folder.hpp
+++ b/tests/sim_folder.hpp
@@ -12,7 +12,7 @@
 
 #include "store/folder.hpp"
 
-namespace kelplb::store {
+namespace ochregrade::store {
 
 struct Crash {};
 
@@ -160,4 +160,4 @@
     FilePtr open_;
 };
 
-}  // namespace kelplb::store
+}  // namespace ochregrade::store
--- a/tests/soak/sidecars.py
+++ b/tests/soak/sidecars.py
@@ -65,9 +65,9 @@
                           "warm-within-ms": WARM_WITHIN_S * 1000, "ask-within-ms": 10000,
                           "stop-sending-within-ms": DRAIN_GRACE_S * 1000},
                 "fees": {"cross-zone": 0, "probe": 0.01}},
-            "cobaltshift": {"admin": {"listen": f"{self.address}:{self.admin}"}}}
+            "ochregrade": {"admin": {"listen": f"{self.address}:{self.admin}"}}}
         if self.number % 2 == 0:
-            config["cobaltshift"]["state"] = {"dir": self.path("state")}
+            config["ochregrade"]["state"] = {"dir": self.path("state")}
         with open(self.path("config.new"), "w") as file:
             json.dump(config, file)
         os.rename(self.path("config.new"), self.path("config.json"))
@@ -76,7 +76,7 @@
         self.life += 1
         environment = dict(os.environ, NODE_CONFIG=self.path("config.json"), LD_PRELOAD=self.shim_library,
                            FAULT_SHIM_CONTROL=self.shim.path, FAULT_SHIM_SEED=str(self.random.getrandbits(60)),
-                           COBALTSHIFT_TRACE=self.path("trace"))
+                           OCHREGRADE_TRACE=self.path("trace"))
         with open(self.path("log"), "ab") as log:
             self.process = await asyncio.create_subprocess_exec(self.program, env=environment, stdout=log, stderr=log)
         self.ending = False
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -12,7 +12,7 @@
 #include "sim_folder.hpp"
 #include "store/writer.hpp"
 
-namespace kelplb::store {
+namespace ochregrade::store {
 namespace {
 
 const auto kSense = [](const Record&) { return std::string(); };
@@ -226,7 +226,7 @@
 // ---- The real folder and the writer's thread -------------------------------------------------------------
 
 struct TempFolder {
-    std::string path = testing::TempDir() + "kelplb_store_" + std::to_string(::getpid());
+    std::string path = testing::TempDir() + "ochregrade_store_" + std::to_string(::getpid());
     TempFolder() { std::filesystem::remove_all(path); }
     ~TempFolder() { std::filesystem::remove_all(path); }
 };
@@ -308,4 +308,4 @@
 }
 
 }  // namespace
-}  // namespace kelplb::store
+}  // namespace ochregrade::store
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -1,7 +1,7 @@
 // What can be found out about one request afterwards: its trace and the counters by reason.
 #include "process_rig.hpp"
 
-namespace kelplb::net {
+namespace ochregrade::net {
 namespace {
 
 std::vector<json> trace_of(const std::string& path, const std::string& id) {
@@ -21,7 +21,7 @@
     SteadyDiscovery discovery(std::vector<json>{host("s1", failing.at())});
     f.config["discovery"] = discovery.at();
     f.place.write(f.config.dump());
-    const auto process = f.start({"COBALTSHIFT_TRACE=" + trace});
+    const auto process = f.start({"OCHREGRADE_TRACE=" + trace});
     App app(f.listen);
     const std::string text = App::request("listen");
     const auto at = text.find("X-Correlation-Id: ") + 18;
@@ -37,13 +37,13 @@
     EXPECT_EQ(trace_of(trace, id).at(3).at("after"), "error");
 
     const std::string metrics = Operator(f.admin).call("GET", "/metrics").body();
-    for (const char* line : {"cobaltshift_retries_total{after=\"error\"} 2\n",
-                             "cobaltshift_refusals_total{reason=\"attempts_used\"} 1\n",
-                             "cobaltshift_rule_violations_total{rule=\"repeat\"} 0\n",
-                             "cobaltshift_sends_withheld_total{reason=\"client_left\"} 0\n",
-                             "cobaltshift_closes_total{side=\"clients\",reason=\"peer_closed\"}"})
+    for (const char* line : {"ochregrade_retries_total{after=\"error\"} 2\n",
+                             "ochregrade_refusals_total{reason=\"attempts_used\"} 1\n",
+                             "ochregrade_rule_violations_total{rule=\"repeat\"} 0\n",
+                             "ochregrade_sends_withheld_total{reason=\"client_left\"} 0\n",
+                             "ochregrade_closes_total{side=\"clients\",reason=\"peer_closed\"}"})
         EXPECT_NE(metrics.find(line), std::string::npos) << line << metrics;
 }
 
 }  // namespace
-}  // namespace kelplb::net
+}  // namespace ochregrade::net
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -5,7 +5,7 @@
 
 #include <sstream>
 
-namespace kelplb::wire {
+namespace ochregrade::wire {
 namespace {
 
 const std::string start_line =
@@ -174,4 +174,4 @@
 }
 
 }  // namespace
-}  // namespace kelplb::wire
+}  // namespace ochregrade::wire
