--- a/src/balance.cpp
+++ b/src/balancer/balancer.cpp
@@ -6,6 +6,8 @@
 // longest. If nobody may have it now it is held briefly. on(AttemptEnded) books the outcome in the server's
 // window (judge(): removal, return) and places the request again or answers it. finish() is the only final
 // answer, may_send() and may_refuse() the only gates: nothing is sent or refused without passing them.
+#include "ochregrade/balancer.hpp"
+
 #include <algorithm>
 #include <bit>
 #include <cmath>
@@ -14,9 +16,8 @@
 #include <stdexcept>
 #include <unordered_map>
 
-#include "ochregrade/balancer.hpp"
-#include "random.hpp"
-#include "settings.hpp"
+#include "balancer/settings_validation.hpp"
+#include "common/random.hpp"
 
 namespace ochregrade {
 
--- a/src/settings.cpp
+++ b/src/balancer/settings_validation.cpp
@@ -1,4 +1,4 @@
-#include "settings.hpp"
+#include "balancer/settings_validation.hpp"
 
 #include <cmath>
 #include <stdexcept>
--- a/src/net/clock.hpp
+++ b/src/common/clock.hpp
@@ -6,7 +6,7 @@
 
 #include "ochregrade/balancer.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 class Clock {
 public:
@@ -33,4 +33,4 @@
     Millis skipped_ = 0, stepped_ = 0;
 };
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/environment.hpp
+++ b/src/common/environment.hpp
@@ -1,11 +1,11 @@
-// The program's own environment variables. Up to version 0.1 they were named COBALTSHIFT_*; those are read for
-// one release more.
+// The program's own environment variables. Up to version 0.1 they were named COBALTSHIFT_*; those are read
+// for one release more.
 #pragma once
 
 #include <cstdlib>
 #include <string>
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 // The value of OCHREGRADE_<name>, else of its former name; null where neither is set.
 inline const char* own_variable(const std::string& name) {
@@ -13,4 +13,4 @@
     return std::getenv(("COBALTSHIFT_" + name).c_str());
 }
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/http.hpp
+++ b/src/common/http.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 namespace asio = boost::asio;
 namespace beast = boost::beast;
@@ -66,4 +66,4 @@
     return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || no_memory) ? Quiet::nothing : Quiet::ended;
 }
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/log.hpp
+++ b/src/common/log.hpp
@@ -13,7 +13,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 // {"t":"2026-12-01T20:56:21.123456Z","level":"info","name":"ochregrade","msg":"..."}; not registered with
 // spdlog's registry, so that nothing else can reach or reconfigure it.
@@ -62,4 +62,4 @@
     log_sink().info(nlohmann::json(line).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/startup.hpp
+++ b/src/common/open_with_retry.hpp
@@ -6,11 +6,11 @@
 #include <sstream>
 #include <thread>
 
-#include "net/config.hpp"
-#include "net/http.hpp"
-#include "net/log.hpp"
+#include "common/http.hpp"
+#include "common/log.hpp"
+#include "control/config.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 // A start is ready within 6 s where it can be; waiting longer would only hide the fault.
 constexpr std::chrono::seconds kStartPatience{4};
@@ -53,4 +53,4 @@
     }
 }
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/socket_io.hpp
+++ b/src/common/socket_io.hpp
@@ -9,9 +9,9 @@
 #include <cerrno>
 #include <utility>
 
-#include "net/http.hpp"
+#include "common/http.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 // No error and fewer bytes than asked for: no more for now.
 struct Transfer {
@@ -92,4 +92,4 @@
     return text;
 }
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/trace.cpp
+++ b/src/common/trace.cpp
@@ -1,4 +1,4 @@
-#include "net/trace.hpp"
+#include "common/trace.hpp"
 
 #include <spdlog/sinks/basic_file_sink.h>
 #include <spdlog/spdlog.h>
@@ -7,10 +7,10 @@
 #include <cstdlib>
 #include <memory>
 
-#include "net/environment.hpp"
-#include "net/log.hpp"
+#include "common/environment.hpp"
+#include "common/log.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 namespace {
 
@@ -65,4 +65,4 @@
     trace_file().write(line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/trace.hpp
+++ b/src/common/trace.hpp
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 // Whether events are wanted: callers ask before they build one.
 bool tracing();
@@ -16,4 +16,4 @@
 void trace_event(std::string_view event,
                  const std::vector<std::pair<std::string_view, nlohmann::json>>& fields);
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/config.cpp
+++ b/src/control/config.cpp
@@ -1,4 +1,4 @@
-#include "net/config.hpp"
+#include "control/config.hpp"
 
 #define XXH_INLINE_ALL
 #include <fcntl.h>
@@ -14,12 +14,12 @@
 #include <limits>
 #include <nlohmann/json.hpp>
 
-#include "fleet/records.hpp"
-#include "net/fields.hpp"
-#include "net/log.hpp"
-#include "settings.hpp"
+#include "balancer/settings_validation.hpp"
+#include "common/log.hpp"
+#include "control/config_schema.hpp"
+#include "replication/records.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 namespace {
 
@@ -416,8 +416,8 @@
 
 bool Config::shares() const {
     return fleet.enabled && settings.may_tell && peer_listen && settings.siblings > 1 &&
-           settings.siblings <= ochregrade::fleet::kMostMembers && settings.my_number < settings.siblings &&
-           peers.size() >= settings.siblings;
+           settings.siblings <= ochregrade::replication::kMostMembers &&
+           settings.my_number < settings.siblings && peers.size() >= settings.siblings;
 }
 
 std::size_t Config::class_index(std::string_view class_name) const {
@@ -533,4 +533,4 @@
     return config;
 }
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/config.hpp
+++ b/src/control/config.hpp
@@ -13,7 +13,7 @@
 
 #include "ochregrade/balancer.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 using boost::asio::ip::tcp;
 using boost::asio::ip::udp;
@@ -125,4 +125,4 @@
 // it was, and complaints about those that differ. Unknown fields are refused if `strict`.
 Config read_candidate(nlohmann::json candidate, const Config& running, bool strict);
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/fields.cpp
+++ b/src/control/config_schema.cpp
@@ -1,4 +1,4 @@
-#include "net/fields.hpp"
+#include "control/config_schema.hpp"
 
 #include <algorithm>
 #include <array>
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string_view>
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 namespace {
 
@@ -189,4 +189,4 @@
     return text;
 }
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/fields.hpp
+++ b/src/control/config_schema.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 enum class FieldKind {
     live,        // taken over by every new generation
@@ -34,4 +34,4 @@
 // The table as it stands in docs/CONFIGURATION.md.
 std::string fields_as_markdown();
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/generations.cpp
+++ b/src/control/config_versions.cpp
@@ -1,9 +1,9 @@
-#include "net/generations.hpp"
+#include "control/config_versions.hpp"
 
 #include <algorithm>
 #include <cstdio>
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 void Generations::committed(SnapshotPtr snapshot, Source source, std::uint64_t content, const TrialRule& rule,
                             Millis now) {
@@ -141,4 +141,4 @@
     return "withdrawn";
 }
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/generations.hpp
+++ b/src/control/config_versions.hpp
@@ -8,9 +8,9 @@
 #include <optional>
 #include <string>
 
-#include "net/config.hpp"
+#include "control/config.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 // Never changed once it is in force: a request holds the one it began with to its end.
 struct Snapshot {
@@ -101,4 +101,4 @@
 const char* word(Generations::Source source);
 const char* word(Generations::State state);
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/admin.cpp
+++ b/src/control/operator_endpoint.cpp
@@ -1,4 +1,4 @@
-#include "net/admin.hpp"
+#include "control/operator_endpoint.hpp"
 
 #include <charconv>
 #include <cmath>
@@ -7,11 +7,11 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "net/fields.hpp"
-#include "net/log.hpp"
-#include "net/socket_io.hpp"
+#include "common/log.hpp"
+#include "common/socket_io.hpp"
+#include "control/config_schema.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 namespace {
 
@@ -190,11 +190,11 @@
 json fleet_now(const Node& node) {
     const Shared* shared = node.shared();
     if (!shared) return nullptr;
-    const fleet::Replica& r = shared->replica();
+    const replication::Replica& r = shared->replica();
     const auto versions = r.member(r.self()).versions();
     json acts = nullptr;
     if (versions) {
-        const fleet::Versions& v = versions->value;
+        const replication::Versions& v = versions->value;
         acts = {{"epoch", v.epoch}, {"hash", v.hash}, {"list", {v.list_incarnation, v.list_seq}}};
     }
     return {{"members", r.members()},
@@ -316,9 +316,10 @@
         counter("fleet_bytes_sent_total", f.sent_bytes, "Bytes of them.");
         counter("fleet_datagrams_received_total", f.received, "Datagrams of the shared state received.");
         family("fleet_datagrams_dropped_total", "counter", "Datagrams that could not be read, by cause.");
-        for (int i = 0; i < fleet::kFaults; ++i)
+        for (int i = 0; i < replication::kFaults; ++i)
             line("fleet_datagrams_dropped_total", f.faults[static_cast<std::size_t>(i)],
-                 ("{cause=\"" + std::string(fleet::word(static_cast<fleet::Fault>(i))) + "\"}").c_str());
+                 ("{cause=\"" + std::string(replication::word(static_cast<replication::Fault>(i))) + "\"}")
+                     .c_str());
         counter("fleet_unknown_members_total", f.unknown_members, "Items about numbers beyond the tier.");
         counter("fleet_far_lives_total", f.far_lives, "Items of lives too far ahead of the clock.");
         counter("fleet_refuted_total", f.refuted, "Untrue things said of this sidecar, refuted.");
@@ -506,4 +507,4 @@
     });
 }
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/admin.hpp
+++ b/src/control/operator_endpoint.hpp
@@ -5,10 +5,10 @@
 #include <list>
 #include <memory>
 
-#include "net/http.hpp"
-#include "net/node.hpp"
+#include "common/http.hpp"
+#include "process/node.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 class Admin {
 public:
@@ -29,4 +29,4 @@
     std::list<std::weak_ptr<Session>> sessions_;
 };
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/discovery.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -1,13 +1,13 @@
-#include "net/discovery.hpp"
+#include "discovery/discovery_client.hpp"
 
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-#include "net/log.hpp"
-#include "net/socket_io.hpp"
-#include "net/trace.hpp"
+#include "common/log.hpp"
+#include "common/socket_io.hpp"
+#include "common/trace.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 namespace {
 // A watch may fall silent with nothing said, and shows it only when its wait is long over. What it misses
@@ -202,4 +202,4 @@
     });
 }
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/discovery.hpp
+++ b/src/discovery/discovery_client.hpp
@@ -7,11 +7,11 @@
 #include <memory>
 #include <optional>
 
-#include "net/config.hpp"
-#include "net/http.hpp"
-#include "random.hpp"
+#include "common/http.hpp"
+#include "common/random.hpp"
+#include "control/config.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 class Discovery {
 public:
@@ -69,4 +69,4 @@
     bool fetch_ = false;
 };
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/start_times.hpp
+++ b/src/discovery/start_times.hpp
@@ -8,7 +8,7 @@
 
 #include "ochregrade/balancer.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 class StartTimes {
 public:
@@ -40,4 +40,4 @@
     std::vector<Millis> errors_ = {0};  // the first is that of the process's start
 };
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/peers.cpp
+++ b/src/fleet/gossip_transport.cpp
@@ -1,10 +1,10 @@
-#include "net/peers.hpp"
+#include "fleet/gossip_transport.hpp"
 
 #include <algorithm>
 
-#include "net/log.hpp"
+#include "common/log.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 Peers::Peers(asio::io_context& io, const udp::endpoint& at, Heard heard)
     : at_(at), heard_(std::move(heard)), socket_(io, at) {
@@ -42,4 +42,4 @@
         });
 }
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/peers.hpp
+++ b/src/fleet/gossip_transport.hpp
@@ -7,10 +7,10 @@
 #include <optional>
 #include <vector>
 
-#include "net/config.hpp"
-#include "net/http.hpp"
+#include "common/http.hpp"
+#include "control/config.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 class Peers : public std::enable_shared_from_this<Peers> {
 public:
@@ -38,4 +38,4 @@
     std::array<std::uint8_t, kLongest + 1> bytes_{};  // one more shows what is over-long
 };
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/shared.cpp
+++ b/src/fleet/replication_driver.cpp
@@ -1,20 +1,20 @@
-#include "net/shared.hpp"
+#include "fleet/replication_driver.hpp"
 
 #include <cmath>
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-#include "net/log.hpp"
+#include "common/log.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 namespace {
 
 constexpr double kSpeakers = 12;  // of all, that tell of a closed server
 
-fleet::Options options_of(const FleetConfig& config) {
-    fleet::Options o;
+replication::Options options_of(const FleetConfig& config) {
+    replication::Options o;
     o.probe_period = config.probe_period;
     o.gossip_period = config.gossip_period;
     o.sync_period = config.sync_period;
@@ -23,20 +23,20 @@
 
 }  // namespace
 
-fleet::ServerKey server_key(ServerId server, Millis born) {
+replication::ServerKey server_key(ServerId server, Millis born) {
     const auto start = static_cast<std::uint64_t>(std::max(0.0, born));
-    return server ^ static_cast<fleet::ServerKey>(start * 0x9e3779b97f4a7c15ULL >> 32);
+    return server ^ static_cast<replication::ServerKey>(start * 0x9e3779b97f4a7c15ULL >> 32);
 }
 
 Shared::Shared(asio::io_context& io, const Clock& clock, const Config& config, Handlers handlers)
     : clock_(clock),
       handlers_(std::move(handlers)),
       config_(config.fleet),
-      replica_(static_cast<fleet::MemberId>(config.settings.my_number), config.settings.siblings,
+      replica_(static_cast<replication::MemberId>(config.settings.my_number), config.settings.siblings,
                static_cast<std::uint32_t>(clock.now() / 1000), config.seed, options_of(config.fleet)),
       timer_(io),
-      list_(fleet::kListPace, config.seed ^ 1),
-      settings_(fleet::kSettingsPace, config.seed ^ 2) {}
+      list_(replication::kListPace, config.seed ^ 1),
+      settings_(replication::kSettingsPace, config.seed ^ 2) {}
 
 bool Shared::serves(const Config& config) const {
     return config.shares() && config.fleet == config_ && config.settings.my_number == replica_.self() &&
@@ -56,48 +56,49 @@
 
 void Shared::heard(std::uint32_t from, const std::vector<std::uint8_t>& bytes) {
     if (from >= replica_.members()) return;
-    replica_.receive(clock_.now(), static_cast<fleet::MemberId>(from), bytes, out_);
+    replica_.receive(clock_.now(), static_cast<replication::MemberId>(from), bytes, out_);
     carry_out();
 }
 
-void Shared::say(fleet::ServerKey server, const fleet::Evidence& evidence) {
+void Shared::say(replication::ServerKey server, const replication::Evidence& evidence) {
     replica_.say(clock_.now(), server, evidence);
     arm();
 }
 
-void Shared::acts_on(const fleet::Versions& versions, std::uint32_t settled) {
+void Shared::acts_on(const replication::Versions& versions, std::uint32_t settled) {
     if (versions != own_) replica_.say(clock_.now(), versions);
     own_ = versions, settled_ = settled;
     look();
     arm();
 }
 
-void Shared::closed(fleet::ServerKey server) {
+void Shared::closed(replication::ServerKey server) {
     const std::uint32_t words[] = {server, replica_.self()};
     const double all = static_cast<double>(replica_.members());
     if (XXH32(words, sizeof words, 0) / 4294967296.0 * all >= kSpeakers) return;
-    fleet::Evidence e;
-    e.flags = fleet::kClosed;
+    replication::Evidence e;
+    e.flags = replication::kClosed;
     say(server, e);
 }
 
 void Shared::look() {
     if (!config_.agreement) return;
-    std::vector<fleet::Place> lists, settings;
+    std::vector<replication::Place> lists, settings;
     for (const auto& [member, record] : replica_.versions()) {
-        lists.push_back(fleet::list_place(record.value));
-        settings.push_back(fleet::settings_place(record.value));
+        lists.push_back(replication::list_place(record.value));
+        settings.push_back(replication::settings_place(record.value));
     }
     const Millis now = clock_.now();
-    list_.look(now, fleet::list_place(own_), lists);
-    settings_.look(now, std::max(fleet::settings_place(own_), fleet::Place{settled_, ~0u}), settings);
+    list_.look(now, replication::list_place(own_), lists);
+    settings_.look(now, std::max(replication::settings_place(own_), replication::Place{settled_, ~0u}),
+                   settings);
 }
 
 void Shared::chase() {
     const Millis now = clock_.now();
-    const auto ask = [&](fleet::Chase& chase, const auto& handler, const char* what) {
+    const auto ask = [&](replication::Chase& chase, const auto& handler, const char* what) {
         if (!chase.due() || now < *chase.due()) return;
-        const fleet::Place claimed = *chase.claimed();
+        const replication::Place claimed = *chase.claimed();
         const auto before = chase.unfounded();
         chase.asked(now);
         handler(claimed);
@@ -110,8 +111,8 @@
 }
 
 void Shared::carry_out() {
-    for (const fleet::Outgoing& o : out_) {
-        const bool all = o.to == fleet::kAll;
+    for (const replication::Outgoing& o : out_) {
+        const bool all = o.to == replication::kAll;
         handlers_.send(all ? std::nullopt : std::optional<std::uint32_t>(o.to), o.bytes);
     }
     out_.clear();
@@ -130,7 +131,7 @@
 
 void Shared::arm() {
     Millis due = replica_.due();
-    for (const fleet::Chase* chase : {&list_, &settings_})
+    for (const replication::Chase* chase : {&list_, &settings_})
         if (chase->due()) due = std::min(due, *chase->due());
     if (!std::isfinite(due)) {
         timer_.cancel();
@@ -149,4 +150,4 @@
     });
 }
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/shared.hpp
+++ b/src/fleet/replication_driver.hpp
@@ -5,12 +5,12 @@
 #include <functional>
 #include <optional>
 
-#include "fleet/agreement.hpp"
-#include "net/clock.hpp"
-#include "net/config.hpp"
-#include "net/http.hpp"
+#include "common/clock.hpp"
+#include "common/http.hpp"
+#include "control/config.hpp"
+#include "replication/version_agreement.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 class Shared {
 public:
@@ -18,7 +18,7 @@
         std::function<void(std::optional<std::uint32_t> to, const std::vector<std::uint8_t>& bytes)> send;
         std::function<void()> changed;  // what the others say; not from within say()
         // They act on a newer list, or on newer settings: ask for them.
-        std::function<void(const fleet::Place&claimed)> ask_list, ask_settings;
+        std::function<void(const replication::Place&claimed)> ask_list, ask_settings;
     };
     Shared(asio::io_context& io, const Clock& clock, const Config& config, Handlers handlers);
     void start();
@@ -26,15 +26,15 @@
     void leave();
 
     void heard(std::uint32_t from, const std::vector<std::uint8_t>& bytes);
-    void say(fleet::ServerKey server, const fleet::Evidence& evidence);
+    void say(replication::ServerKey server, const replication::Evidence& evidence);
     // What this sidecar acts on. An epoch up to `settled` that it does not act on is not meant for it.
-    void acts_on(const fleet::Versions& versions, std::uint32_t settled);
+    void acts_on(const replication::Versions& versions, std::uint32_t settled);
     // On its list the server drains or is gone. A dozen of the fleet, drawn by the server, say so.
-    void closed(fleet::ServerKey server);
-    const fleet::Chase& list_chase() const { return list_; }
-    const fleet::Chase& settings_chase() const { return settings_; }
+    void closed(replication::ServerKey server);
+    const replication::Chase& list_chase() const { return list_; }
+    const replication::Chase& settings_chase() const { return settings_; }
 
-    const fleet::Replica& replica() const { return replica_; }
+    const replication::Replica& replica() const { return replica_; }
     // Whether it was made for the same place in the same fleet.
     bool serves(const Config& config) const;
 
@@ -47,19 +47,19 @@
     const Clock& clock_;
     Handlers handlers_;
     FleetConfig config_;
-    fleet::Replica replica_;
-    std::vector<fleet::Outgoing> out_;
+    replication::Replica replica_;
+    std::vector<replication::Outgoing> out_;
     asio::steady_timer timer_;
     Millis armed_for_ = 0;
     Millis started_ = 0;
-    fleet::Chase list_, settings_;
-    fleet::Versions own_{};
+    replication::Chase list_, settings_;
+    replication::Versions own_{};
     std::uint32_t settled_ = 0;
     std::uint64_t revision_ = 0;
     bool said_caught_up_ = false;
 };
 
 // What another process under the same name did is no evidence against this one: its start is part of the key.
-fleet::ServerKey server_key(ServerId server, Millis born);
+replication::ServerKey server_key(ServerId server, Millis born);
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/lab/standins.cpp
+++ b/src/lab/fakes.cpp
@@ -1,4 +1,4 @@
-#include "lab/standins.hpp"
+#include "lab/fakes.hpp"
 
 #include <boost/asio/redirect_error.hpp>
 #include <charconv>
--- a/src/lab/lab.cpp
+++ b/src/lab/lab.cpp
@@ -7,13 +7,13 @@
 #include <random>
 
 #include "lab/clients.hpp"
+#include "lab/fakes.hpp"
 #include "lab/fleet.hpp"
 #include "lab/history.hpp"
 #include "lab/loopback_block.hpp"
 #include "lab/record.hpp"
 #include "lab/relay.hpp"
 #include "lab/report.hpp"
-#include "lab/standins.hpp"
 
 namespace ochregrade::lab {
 
--- a/src/lab/simnet.cpp
+++ b/src/lab/simulated_network.cpp
@@ -1,4 +1,4 @@
-#include "lab/simnet.hpp"
+#include "lab/simulated_network.hpp"
 
 #include <algorithm>
 
@@ -8,7 +8,8 @@
 constexpr std::size_t kSocket = 800;  // datagrams a paused process's receive buffer holds; the rest is lost
 }
 
-SimFleet::SimFleet(std::size_t members, std::uint64_t seed, const Network& network, fleet::Options options)
+SimFleet::SimFleet(std::size_t members, std::uint64_t seed, const Network& network,
+                   replication::Options options)
     : members_(members), network_(network), options_(options), seed_(seed), random_(seed) {}
 
 void SimFleet::start_all() {
@@ -28,10 +29,10 @@
     m.paused = false;
     m.woken_for = -1;
     ++m.starts;
-    m.replica = std::make_unique<fleet::Replica>(static_cast<fleet::MemberId>(i), members_.size(),
-                                                 static_cast<std::uint32_t>(clock(i) / 1000),
-                                                 seed_ * 1000003 + i * 131 + m.starts, options_);
-    std::vector<fleet::Outgoing> out;
+    m.replica = std::make_unique<replication::Replica>(static_cast<replication::MemberId>(i), members_.size(),
+                                                       static_cast<std::uint32_t>(clock(i) / 1000),
+                                                       seed_ * 1000003 + i * 131 + m.starts, options_);
+    std::vector<replication::Outgoing> out;
     m.replica->start(clock(i), out);
     after(i, out);
 }
@@ -44,7 +45,7 @@
     Member& m = members_[i];
     m.paused = false;
     if (!m.replica) return;
-    std::vector<fleet::Outgoing> out;
+    std::vector<replication::Outgoing> out;
     m.replica->advance(clock(i), out);
     after(i, out);
     const auto waiting = std::move(m.socket);
@@ -68,9 +69,9 @@
     events_.push(std::move(event));
 }
 
-void SimFleet::after(std::size_t i, std::vector<fleet::Outgoing>& out) {
-    for (fleet::Outgoing& o : out) {
-        if (o.to != fleet::kAll) {
+void SimFleet::after(std::size_t i, std::vector<replication::Outgoing>& out) {
+    for (replication::Outgoing& o : out) {
+        if (o.to != replication::kAll) {
             inject(i, o.to, std::move(o.bytes));
             continue;
         }
@@ -85,7 +86,7 @@
     push({std::max(due, now_), 0, i, i, m.starts, true, {}});
 }
 
-void SimFleet::inject(std::size_t from, std::size_t to, fleet::Bytes bytes) {
+void SimFleet::inject(std::size_t from, std::size_t to, replication::Bytes bytes) {
     ++datagrams_;
     bytes_ += bytes.size();
     if (on_send) on_send(from, to, bytes);
@@ -111,12 +112,12 @@
             m.socket.emplace_back(event.from, std::move(event.bytes));
         return;
     }
-    std::vector<fleet::Outgoing> out;
+    std::vector<replication::Outgoing> out;
     if (event.wake) {
         m.woken_for = -1;
         m.replica->advance(clock(event.to), out);
     } else {
-        m.replica->receive(clock(event.to), static_cast<fleet::MemberId>(event.from), event.bytes, out);
+        m.replica->receive(clock(event.to), static_cast<replication::MemberId>(event.from), event.bytes, out);
     }
     after(event.to, out);
 }
@@ -140,20 +141,20 @@
     return true;
 }
 
-void SimFleet::say(std::size_t i, fleet::ServerKey server, const fleet::Evidence& evidence) {
+void SimFleet::say(std::size_t i, replication::ServerKey server, const replication::Evidence& evidence) {
     members_[i].replica->say(clock(i), server, evidence);
-    std::vector<fleet::Outgoing> none;
+    std::vector<replication::Outgoing> none;
     after(i, none);
 }
 
-void SimFleet::say(std::size_t i, const fleet::Versions& versions) {
+void SimFleet::say(std::size_t i, const replication::Versions& versions) {
     members_[i].replica->say(clock(i), versions);
-    std::vector<fleet::Outgoing> none;
+    std::vector<replication::Outgoing> none;
     after(i, none);
 }
 
 bool SimFleet::agree() const {
-    const fleet::Replica* first = nullptr;
+    const replication::Replica* first = nullptr;
     for (std::size_t i = 0; i < members_.size(); ++i) {
         if (!up(i)) continue;
         if (!first) first = &at(i);
--- a/src/lab/simnet.hpp
+++ b/src/lab/simulated_network.hpp
@@ -10,7 +10,7 @@
 #include <random>
 #include <vector>
 
-#include "fleet/replica.hpp"
+#include "replication/replica.hpp"
 
 namespace ochregrade::lab {
 
@@ -22,8 +22,9 @@
 
 class SimFleet {
 public:
-    using Millis = fleet::Millis;
-    SimFleet(std::size_t members, std::uint64_t seed, const Network& network, fleet::Options options = {});
+    using Millis = replication::Millis;
+    SimFleet(std::size_t members, std::uint64_t seed, const Network& network,
+             replication::Options options = {});
 
     void start_all();           // each at a moment of its own within the first 100 ms
     void start(std::size_t i);  // a fresh process, of the next life
@@ -42,13 +43,13 @@
     // Runs until `done` says so or the time is over; looks every `look` ms. Returns whether it was.
     bool run_until(const std::function<bool()>& done, Millis at_most, Millis look = 10);
 
-    void say(std::size_t i, fleet::ServerKey server, const fleet::Evidence& evidence);
-    void say(std::size_t i, const fleet::Versions& versions);
+    void say(std::size_t i, replication::ServerKey server, const replication::Evidence& evidence);
+    void say(std::size_t i, const replication::Versions& versions);
     // As if `from` had sent these bytes, whatever it is.
-    void inject(std::size_t from, std::size_t to, fleet::Bytes bytes);
+    void inject(std::size_t from, std::size_t to, replication::Bytes bytes);
 
     bool up(std::size_t i) const { return members_[i].replica != nullptr && !members_[i].paused; }
-    const fleet::Replica& at(std::size_t i) const { return *members_[i].replica; }
+    const replication::Replica& at(std::size_t i) const { return *members_[i].replica; }
     std::size_t size() const { return members_.size(); }
     Millis now() const { return now_; }
     // Whether all that run hold the same, of all members.
@@ -56,14 +57,14 @@
     std::uint64_t datagrams() const { return datagrams_; }
     std::uint64_t bytes() const { return bytes_; }
     // A look at each datagram that is sent.
-    std::function<void(std::size_t from, std::size_t to, const fleet::Bytes&)> on_send;
+    std::function<void(std::size_t from, std::size_t to, const replication::Bytes&)> on_send;
 
 private:
     struct Member {
-        std::unique_ptr<fleet::Replica> replica;
+        std::unique_ptr<replication::Replica> replica;
         std::uint32_t starts = 0;
         bool paused = false, cut_in = false, cut_out = false;
-        std::vector<std::pair<std::size_t, fleet::Bytes>> socket;  // while paused
+        std::vector<std::pair<std::size_t, replication::Bytes>> socket;  // while paused
         Millis woken_for = -1;
         Millis offset = 0;
     };
@@ -73,17 +74,17 @@
         std::size_t to = 0, from = 0;
         std::uint32_t start = 0;  // of the receiver, for a wake-up
         bool wake = false;
-        fleet::Bytes bytes{};
+        replication::Bytes bytes{};
         bool operator>(const Event& o) const { return std::tie(at, order) > std::tie(o.at, o.order); }
     };
     void push(Event event);
-    void after(std::size_t i, std::vector<fleet::Outgoing>& out);
+    void after(std::size_t i, std::vector<replication::Outgoing>& out);
     void deliver(Event& event);
     Millis clock(std::size_t i) const { return now_ + members_[i].offset; }
 
     std::vector<Member> members_;
     Network network_;
-    fleet::Options options_;
+    replication::Options options_;
     std::uint64_t seed_;
     std::mt19937_64 random_;
     Millis now_ = 1.7e12;  // Unix ms, as the sidecar's clock has it
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -5,14 +5,14 @@
 #include <nlohmann/json.hpp>
 #include <string_view>
 
-#include "net/fields.hpp"
-#include "net/log.hpp"
-#include "net/node.hpp"
-#include "net/startup.hpp"
+#include "common/log.hpp"
+#include "common/open_with_retry.hpp"
+#include "control/config_schema.hpp"
+#include "process/node.hpp"
 
 namespace {
 
-using namespace ochregrade::net;
+using namespace ochregrade::sidecar;
 
 // Signals that a handler takes. While no handler is there yet, or no longer, any of them would end the
 // process.
--- a/src/net/node.cpp
+++ b/src/process/node.cpp
@@ -1,4 +1,4 @@
-#include "net/node.hpp"
+#include "process/node.hpp"
 
 #include <sys/resource.h>
 
@@ -8,12 +8,12 @@
 #include <nlohmann/json.hpp>
 #include <sstream>
 
-#include "net/admin.hpp"
-#include "net/form.hpp"
-#include "net/log.hpp"
-#include "net/startup.hpp"
+#include "common/log.hpp"
+#include "common/open_with_retry.hpp"
+#include "control/operator_endpoint.hpp"
+#include "proxy/request_validation.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 namespace {
 
@@ -164,7 +164,7 @@
     listener_.on_misfit = [this](const SnapshotPtr& snapshot, const HttpRequest& head) {
         misfit(snapshot, head);
     };
-    sidecar_.on_share = [this](fleet::ServerKey server, const fleet::Evidence& evidence) {
+    sidecar_.on_share = [this](replication::ServerKey server, const replication::Evidence& evidence) {
         if (shared_) shared_->say(server, evidence);
     };
     listener_.listen(config.listen);
@@ -227,7 +227,7 @@
     if (!config.peer_listen || !config.settings.may_tell) return nullptr;
     return std::make_shared<Peers>(io_, *config.peer_listen,
                                    [this](std::uint32_t from, std::vector<std::uint8_t> bytes) {
-                                       if (!fleet::is_shared_state(bytes))
+                                       if (!replication::is_shared_state(bytes))
                                            return sidecar_.peer_said(from, std::move(bytes));
                                        if (shared_) shared_->heard(from, bytes);
                                    });
@@ -247,8 +247,8 @@
                 if (peers_) peers_->tell(to, bytes);
             },
             [this] { sidecar_.fleet_said(shared_->replica().evidence()); },
-            [this](const fleet::Place& claimed) { discovery_.ask_now(claimed.major, claimed.minor); },
-            [this](const fleet::Place&) { reload(); }});
+            [this](const replication::Place& claimed) { discovery_.ask_now(claimed.major, claimed.minor); },
+            [this](const replication::Place&) { reload(); }});
     shared_->start();
     say_versions();
 }
@@ -258,8 +258,8 @@
     if (!shared_) return;
     const Snapshot& s = *sidecar_.snapshot();
     const auto seq = std::min<std::uint64_t>(discovery_.seq(), std::numeric_limits<std::uint32_t>::max());
-    const fleet::Versions now{s.epoch, s.epoch ? s.config.settings_hash : 0, discovery_.incarnation(),
-                              static_cast<std::uint32_t>(seq)};
+    const replication::Versions now{s.epoch, s.epoch ? s.config.settings_hash : 0, discovery_.incarnation(),
+                                    static_cast<std::uint32_t>(seq)};
     if (now != acting_) {
         char line[96];
         std::snprintf(line, sizeof line, "acts on settings %u.%08x list %u.%u", now.epoch, now.hash,
@@ -516,4 +516,4 @@
     });
 }
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/node.hpp
+++ b/src/process/node.hpp
@@ -5,14 +5,14 @@
 #include <memory>
 #include <nlohmann/json_fwd.hpp>
 
-#include "net/discovery.hpp"
-#include "net/generations.hpp"
-#include "net/keeper.hpp"
-#include "net/listener.hpp"
-#include "net/peers.hpp"
-#include "net/shared.hpp"
+#include "control/config_versions.hpp"
+#include "discovery/discovery_client.hpp"
+#include "fleet/gossip_transport.hpp"
+#include "fleet/replication_driver.hpp"
+#include "proxy/listener.hpp"
+#include "recovery/state_store.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 class Admin;
 
@@ -110,7 +110,7 @@
     std::unique_ptr<Admin> admin_;
     asio::steady_timer timer_, trial_timer_, keep_timer_, reread_timer_;
     Counts counts_;
-    fleet::Versions acting_{};  // as last said
+    replication::Versions acting_{};  // as last said
     std::uint32_t settled_ =
         0;  // epochs up to there are decided on, though one may be acted on elsewhere only
     bool reload_posted_ = false;
@@ -121,4 +121,4 @@
     Millis tell_off_at_ = 0, stop_at_ = 0;
 };
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/sidecar.cpp
+++ b/src/proxy/balancer_driver.cpp
@@ -1,17 +1,17 @@
-#include "net/sidecar.hpp"
+#include "proxy/balancer_driver.hpp"
 
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
 #include <limits>
 
-#include "names.hpp"
-#include "net/discovery.hpp"
-#include "net/log.hpp"
-#include "net/peers.hpp"
-#include "net/shared.hpp"
+#include "common/endpoint_id.hpp"
+#include "common/log.hpp"
+#include "discovery/discovery_client.hpp"
+#include "fleet/gossip_transport.hpp"
+#include "fleet/replication_driver.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 std::string_view name_of(EndReason reason) {
     constexpr std::array<std::string_view, static_cast<std::size_t>(EndReason::count)> kNames = {
@@ -236,19 +236,19 @@
     push(std::move(event));
 }
 
-fleet::ServerKey Sidecar::key_of(const Host& host) {
+replication::ServerKey Sidecar::key_of(const Host& host) {
     const auto known = server_ids_.find(host.name);
     const ServerId id =
         known != server_ids_.end() ? known->second : server_number(host.name, [](ServerId) { return false; });
     return server_key(id, host.born);
 }
 
-void Sidecar::fleet_said(const std::vector<fleet::ServerEvidence>& evidence) {
-    std::unordered_map<fleet::ServerKey, ServerId> by_key;
+void Sidecar::fleet_said(const std::vector<replication::ServerEvidence>& evidence) {
+    std::unordered_map<replication::ServerKey, ServerId> by_key;
     for (const auto& [id, s] : servers_)
         if (s.listed) by_key.emplace(server_key(id, s.born), id);
     FleetView event;
-    for (const fleet::ServerEvidence& e : evidence)
+    for (const replication::ServerEvidence& e : evidence)
         if (const auto id = by_key.find(e.server); id != by_key.end())
             event.servers.push_back({id->second, e.good, e.bad, e.complaints, e.witnesses, e.closed,
                                      e.restored, e.paced, e.pace});
@@ -455,11 +455,11 @@
     const auto s = servers_.find(a.server);
     if (s == servers_.end() || !on_share) return;
     const auto byte = [](double value) { return static_cast<std::uint8_t>(std::clamp(value, 0.0, 255.0)); };
-    fleet::Evidence e;
+    replication::Evidence e;
     e.good = byte(std::round(a.good)), e.bad = byte(std::round(a.bad));
     e.pace = byte(std::round(a.pace * 64));
-    e.flags =
-        static_cast<std::uint8_t>((a.removed ? fleet::kRemoved : 0) | (a.restored ? fleet::kRestored : 0));
+    e.flags = static_cast<std::uint8_t>((a.removed ? replication::kRemoved : 0) |
+                                        (a.restored ? replication::kRestored : 0));
     on_share(server_key(a.server, s->second.born), e);
 }
 
@@ -476,4 +476,4 @@
     log_line((at == servers_.end() ? std::string() : at->second.name + " ") + a.text);
 }
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/sidecar.hpp
+++ b/src/proxy/balancer_driver.hpp
@@ -14,18 +14,18 @@
 #include <unordered_map>
 #include <vector>
 
-#include "fleet/records.hpp"
-#include "net/clock.hpp"
-#include "net/config.hpp"
-#include "net/generations.hpp"
-#include "net/http.hpp"
-#include "net/rule_guard.hpp"
-#include "net/start_times.hpp"
-#include "net/trace.hpp"
-#include "net/upstream.hpp"
+#include "common/clock.hpp"
+#include "common/http.hpp"
+#include "common/trace.hpp"
+#include "control/config.hpp"
+#include "control/config_versions.hpp"
+#include "discovery/start_times.hpp"
 #include "ochregrade/balancer.hpp"
+#include "proxy/rule_guard.hpp"
+#include "proxy/upstream_pool.hpp"
+#include "replication/records.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 class Discovery;
 class Peers;
@@ -75,7 +75,7 @@
     std::function<void(std::uint64_t generation, bool served)> on_answer;
 
     // What is to be shared with the other sidecars, by the server's key.
-    std::function<void(fleet::ServerKey server, const fleet::Evidence& evidence)> on_share;
+    std::function<void(replication::ServerKey server, const replication::Evidence& evidence)> on_share;
 
     // From clients. The answer comes later, through the client.
     RequestId arrived(RequestPtr request, Millis time_left, std::weak_ptr<Client> client,
@@ -87,9 +87,9 @@
     // From discovery and from other sidecars.
     void told(const HostList& list, bool saved = false);
     void list_failed();
-    fleet::ServerKey key_of(const Host& host);
+    replication::ServerKey key_of(const Host& host);
     // What the other sidecars share; servers that are not listed here are passed over.
-    void fleet_said(const std::vector<fleet::ServerEvidence>& evidence);
+    void fleet_said(const std::vector<replication::ServerEvidence>& evidence);
     void peer_said(std::uint32_t from, std::vector<std::uint8_t> bytes);
 
     // For a later life, and from an earlier one.
@@ -214,4 +214,4 @@
     bool holds_list_ = false;
 };
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/close_reason.hpp
+++ b/src/proxy/close_reason.hpp
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <string_view>
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 enum class CloseReason : std::size_t {
     peer_closed,     // the other side ended or broke it
@@ -31,4 +31,4 @@
     return kNames.at(static_cast<std::size_t>(reason));
 }
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/listener.cpp
+++ b/src/proxy/listener.cpp
@@ -1,15 +1,15 @@
-#include "net/listener.hpp"
+#include "proxy/listener.hpp"
 
 #include <netinet/tcp.h>
 
-#include "net/form.hpp"
-#include "net/log.hpp"
-#include "net/requests_ahead.hpp"
-#include "net/socket_io.hpp"
-#include "net/startup.hpp"
-#include "net/trace.hpp"
+#include "common/log.hpp"
+#include "common/open_with_retry.hpp"
+#include "common/socket_io.hpp"
+#include "common/trace.hpp"
+#include "proxy/pipelined_requests.hpp"
+#include "proxy/request_validation.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 namespace {
 
@@ -588,4 +588,4 @@
 
 bool Listener::busy() const { return !sessions_.empty(); }
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/listener.hpp
+++ b/src/proxy/listener.hpp
@@ -7,12 +7,12 @@
 #include <string>
 #include <unordered_set>
 
-#include "net/backlog.hpp"
-#include "net/close_reason.hpp"
-#include "net/http.hpp"
-#include "net/sidecar.hpp"
+#include "common/http.hpp"
+#include "proxy/balancer_driver.hpp"
+#include "proxy/close_reason.hpp"
+#include "proxy/unread_time.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 class Listener {
 public:
@@ -85,4 +85,4 @@
     bool stopped_ = false;
 };
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/requests_ahead.cpp
+++ b/src/proxy/pipelined_requests.cpp
@@ -1,11 +1,11 @@
-#include "net/requests_ahead.hpp"
+#include "proxy/pipelined_requests.hpp"
 
 #include <algorithm>
 #include <limits>
 
-#include "net/form.hpp"
+#include "proxy/request_validation.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 std::vector<Millis> times_of_whole_requests(asio::const_buffer bytes) {
     std::vector<Millis> times;
@@ -41,4 +41,4 @@
     return *first;
 }
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/requests_ahead.hpp
+++ b/src/proxy/pipelined_requests.hpp
@@ -6,10 +6,10 @@
 #include <optional>
 #include <vector>
 
-#include "net/http.hpp"
+#include "common/http.hpp"
 #include "ochregrade/balancer.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 // X-Time-Left of each whole request in `bytes`, milliseconds, in their order; infinite where it has none that
 // can be read. What follows a chunked request is not looked at.
@@ -30,4 +30,4 @@
     std::deque<Millis> deadlines_;
 };
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/form.cpp
+++ b/src/proxy/request_validation.cpp
@@ -1,10 +1,10 @@
-#include "net/form.hpp"
+#include "proxy/request_validation.hpp"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 namespace {
 
@@ -81,4 +81,4 @@
     return {};
 }
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/form.hpp
+++ b/src/proxy/request_validation.hpp
@@ -4,10 +4,10 @@
 
 #include <optional>
 
-#include "net/config.hpp"
-#include "net/http.hpp"
+#include "common/http.hpp"
+#include "control/config.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 // "480m" or "480000u"; nothing else.
 std::optional<Millis> parse_time_left(beast::string_view text);
@@ -19,4 +19,4 @@
 // Method, path, key and figures that don't fit the class, or no class at all.
 std::optional<http::status> form_fault(const HttpRequest& request, const Config& config);
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/rule_guard.cpp
+++ b/src/proxy/rule_guard.cpp
@@ -1,11 +1,11 @@
-#include "net/rule_guard.hpp"
+#include "proxy/rule_guard.hpp"
 
 #include <numeric>
 #include <string>
 
-#include "net/log.hpp"
+#include "common/log.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 namespace {
 
@@ -103,4 +103,4 @@
     log_line("rule violated: " + std::string(name_of(violation)));
 }
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/rule_guard.hpp
+++ b/src/proxy/rule_guard.hpp
@@ -13,7 +13,7 @@
 
 #include "ochregrade/balancer.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 // Why an attempt is not written.
 enum class Withheld : std::size_t {
@@ -106,4 +106,4 @@
     Counts counts_;
 };
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/backlog.hpp
+++ b/src/proxy/unread_time.hpp
@@ -8,7 +8,7 @@
 
 #include "ochregrade/balancer.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 class Backlog {
 public:
@@ -32,4 +32,4 @@
     std::optional<Millis> since_, resumed_;
 };
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/upstream.cpp
+++ b/src/proxy/upstream_pool.cpp
@@ -1,12 +1,12 @@
-#include "net/upstream.hpp"
+#include "proxy/upstream_pool.hpp"
 
 #include <algorithm>
 #include <limits>
 
-#include "net/log.hpp"
-#include "net/socket_io.hpp"
+#include "common/log.hpp"
+#include "common/socket_io.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 namespace {
 constexpr std::size_t kReadSize = 4096;
@@ -438,4 +438,4 @@
     for (const LinkPtr& link : links) drop(link, CloseReason::retired);
 }
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/upstream.hpp
+++ b/src/proxy/upstream_pool.hpp
@@ -9,12 +9,12 @@
 #include <string>
 #include <unordered_map>
 
-#include "net/clock.hpp"
-#include "net/close_reason.hpp"
-#include "net/http.hpp"
+#include "common/clock.hpp"
+#include "common/http.hpp"
 #include "ochregrade/balancer.hpp"
+#include "proxy/close_reason.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 struct AttemptKey {
     RequestId id = 0;
@@ -108,4 +108,4 @@
     CloseCounts closes_{};
 };
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/keeper.cpp
+++ b/src/recovery/state_store.cpp
@@ -1,4 +1,4 @@
-#include "net/keeper.hpp"
+#include "recovery/state_store.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -9,11 +9,11 @@
 #include <random>
 #include <sstream>
 
-#include "net/environment.hpp"
-#include "net/fields.hpp"
-#include "net/log.hpp"
+#include "common/environment.hpp"
+#include "common/log.hpp"
+#include "control/config_schema.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 namespace {
 
@@ -73,7 +73,7 @@
     }
 }
 
-std::string sense_of_config(const store::Record& record) {
+std::string sense_of_config(const storage::Record& record) {
     try {
         const json j = json::parse(record.payload);
         read_document(text_at(j, "good"), "0", nullptr);  // the same checks as for a live change
@@ -91,7 +91,7 @@
     return {};
 }
 
-std::string sense_of_world(const store::Record& record) {
+std::string sense_of_world(const storage::Record& record) {
     try {
         const json j = json::parse(record.payload);
         stamp(j);
@@ -130,7 +130,7 @@
 }
 
 std::unique_ptr<Keeper> Keeper::open(const std::string& path) {
-    store::OpenedFolder opened = store::open_folder(path);
+    storage::OpenedFolder opened = storage::open_folder(path);
     const bool had = opened.folder != nullptr;
     auto keeper = std::make_unique<Keeper>(std::move(opened.folder), now_by_the_system);
     if (!had) {
@@ -140,11 +140,11 @@
     return keeper;
 }
 
-Keeper::Keeper(std::shared_ptr<store::Folder> folder, Now now)
+Keeper::Keeper(std::shared_ptr<storage::Folder> folder, Now now)
     : folder_(std::move(folder)), now_(std::move(now)) {
     if (folder_)
-        store_ = std::make_shared<store::Store>(*folder_,
-                                                [](const std::string& line) { log_line("state: " + line); });
+        store_ = std::make_shared<storage::Store>(
+            *folder_, [](const std::string& line) { log_line("state: " + line); });
 }
 
 Recovered Keeper::recover() {
@@ -152,7 +152,7 @@
     if (!store_) return r;
     const Stamp now = now_();
     int starts = 0;
-    const auto counted = store_->load(kStarts, [](const store::Record& record) {
+    const auto counted = store_->load(kStarts, [](const storage::Record& record) {
         const json j = json::parse(record.payload, nullptr, false);
         return j.is_object() && j.contains("starts") && j["starts"].is_number_unsigned() ? "" : "no number";
     });
@@ -198,7 +198,7 @@
             if (s.removed_for > 0 || s.pace > 0) r.learnt.push_back(std::move(s));
         }
     }
-    writer_ = std::make_unique<store::Writer>(folder_, store_);
+    writer_ = std::make_unique<storage::Writer>(folder_, store_);
     return r;
 }
 
@@ -327,4 +327,4 @@
     return s;
 }
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/net/keeper.hpp
+++ b/src/recovery/state_store.hpp
@@ -9,11 +9,11 @@
 #include <string>
 #include <vector>
 
-#include "net/generations.hpp"
-#include "net/sidecar.hpp"
-#include "store/writer.hpp"
+#include "control/config_versions.hpp"
+#include "proxy/balancer_driver.hpp"
+#include "storage/background_writer.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 // When something was written: by the wall clock, and by the time since this machine's start, which steps of
 // the wall clock don't touch.
@@ -48,7 +48,7 @@
 
     // One that can't have its folder keeps nothing, and says why.
     static std::unique_ptr<Keeper> open(const std::string& path);
-    Keeper(std::shared_ptr<store::Folder> folder, Now now);
+    Keeper(std::shared_ptr<storage::Folder> folder, Now now);
 
     Recovered recover();  // once, first
 
@@ -60,14 +60,14 @@
 
     bool usable() const { return why_.empty() && writer_; }
     const std::string& why() const { return why_; }  // it is not
-    store::Writer::Counts counts() const { return writer_ ? writer_->counts() : store::Writer::Counts(); }
+    storage::Writer::Counts counts() const { return writer_ ? writer_->counts() : storage::Writer::Counts(); }
     bool settled() { return !writer_ || writer_->settled(std::chrono::milliseconds(0)); }
 
 private:
-    std::shared_ptr<store::Folder> folder_;
+    std::shared_ptr<storage::Folder> folder_;
     Now now_;
-    std::shared_ptr<store::Store> store_;
-    std::unique_ptr<store::Writer> writer_;  // from recover() on the store is its own
+    std::shared_ptr<storage::Store> store_;
+    std::unique_ptr<storage::Writer> writer_;  // from recover() on the store is its own
     std::string last_world_, last_config_;
     std::string why_;
 };
@@ -86,4 +86,4 @@
 // The decision alone: what the file (or its fault) and the state amount to.
 Start decide_start(const std::optional<nlohmann::json>& file, const Recovered& recovered);
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/src/fleet/codec.cpp
+++ b/src/replication/codec.cpp
@@ -1,11 +1,11 @@
-#include "fleet/codec.hpp"
+#include "replication/codec.hpp"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
 #include <array>
 
-namespace ochregrade::fleet {
+namespace ochregrade::replication {
 
 namespace {
 
@@ -165,4 +165,4 @@
     return "bad item";
 }
 
-}  // namespace ochregrade::fleet
+}  // namespace ochregrade::replication
--- a/src/fleet/codec.hpp
+++ b/src/replication/codec.hpp
@@ -17,9 +17,9 @@
 #include <variant>
 #include <vector>
 
-#include "fleet/records.hpp"
+#include "replication/records.hpp"
 
-namespace ochregrade::fleet {
+namespace ochregrade::replication {
 
 using Bytes = std::vector<std::uint8_t>;
 
@@ -111,4 +111,4 @@
     return bytes.size() >= kHead && bytes[0] == kFormat;
 }
 
-}  // namespace ochregrade::fleet
+}  // namespace ochregrade::replication
--- a/src/fleet/records.cpp
+++ b/src/replication/records.cpp
@@ -1,4 +1,4 @@
-#include "fleet/records.hpp"
+#include "replication/records.hpp"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <array>
 
-namespace ochregrade::fleet {
+namespace ochregrade::replication {
 
 namespace {
 
@@ -132,4 +132,4 @@
     return static_cast<std::uint32_t>(sum ^ sum >> 32);
 }
 
-}  // namespace ochregrade::fleet
+}  // namespace ochregrade::replication
--- a/src/fleet/records.hpp
+++ b/src/replication/records.hpp
@@ -20,7 +20,7 @@
 #include <optional>
 #include <vector>
 
-namespace ochregrade::fleet {
+namespace ochregrade::replication {
 
 using Millis = double;
 using MemberId = std::uint16_t;  // a sidecar's number among its siblings, from 0
@@ -123,4 +123,4 @@
     bool operator==(const ServerEvidence&) const = default;
 };
 
-}  // namespace ochregrade::fleet
+}  // namespace ochregrade::replication
--- a/src/fleet/replica.cpp
+++ b/src/replication/replica.cpp
@@ -1,4 +1,4 @@
-#include "fleet/replica.hpp"
+#include "replication/replica.hpp"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -9,7 +9,7 @@
 #include <set>
 #include <stdexcept>
 
-namespace ochregrade::fleet {
+namespace ochregrade::replication {
 
 namespace {
 
@@ -868,4 +868,4 @@
                            [](std::size_t n, const OriginState& s) { return n + s.evidence().size(); });
 }
 
-}  // namespace ochregrade::fleet
+}  // namespace ochregrade::replication
--- a/src/fleet/replica.hpp
+++ b/src/replication/replica.hpp
@@ -14,11 +14,11 @@
 #include <span>
 #include <vector>
 
-#include "fleet/codec.hpp"
-#include "fleet/records.hpp"
-#include "random.hpp"
+#include "common/random.hpp"
+#include "replication/codec.hpp"
+#include "replication/records.hpp"
 
-namespace ochregrade::fleet {
+namespace ochregrade::replication {
 
 constexpr MemberId kAll = 0xffff;  // as a receiver: every other member
 
@@ -207,4 +207,4 @@
     Counts counts_;
 };
 
-}  // namespace ochregrade::fleet
+}  // namespace ochregrade::replication
--- a/src/fleet/agreement.cpp
+++ b/src/replication/version_agreement.cpp
@@ -1,8 +1,8 @@
-#include "fleet/agreement.hpp"
+#include "replication/version_agreement.hpp"
 
 #include <algorithm>
 
-namespace ochregrade::fleet {
+namespace ochregrade::replication {
 
 namespace {
 // So many calls in vain, and the claim is held to be made up for a while: it must not hide a true one below
@@ -44,4 +44,4 @@
 Place settings_place(const Versions& v) { return {v.epoch, v.hash}; }
 Place list_place(const Versions& v) { return {v.list_incarnation, v.list_seq}; }
 
-}  // namespace ochregrade::fleet
+}  // namespace ochregrade::replication
--- a/src/fleet/agreement.hpp
+++ b/src/replication/version_agreement.hpp
@@ -6,9 +6,9 @@
 #include <optional>
 #include <span>
 
-#include "fleet/replica.hpp"
+#include "replication/replica.hpp"
 
-namespace ochregrade::fleet {
+namespace ochregrade::replication {
 
 struct Pace {
     Millis grace = 150;      // whoever is told by the ordinary way within this need not ask
@@ -57,4 +57,4 @@
 Place settings_place(const Versions& v);
 Place list_place(const Versions& v);
 
-}  // namespace ochregrade::fleet
+}  // namespace ochregrade::replication
--- a/src/wire.cpp
+++ b/src/simulator/adapter.cpp
@@ -1,4 +1,4 @@
-#include "wire.hpp"
+#include "simulator/adapter.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -6,7 +6,7 @@
 #include <istream>
 #include <ostream>
 
-#include "names.hpp"
+#include "common/endpoint_id.hpp"
 
 namespace ochregrade::wire {
 
--- a/src/simhost.cpp
+++ b/src/simulator/main.cpp
@@ -1,7 +1,7 @@
 // The process that the simulator starts: the wire on standard input and output.
 #include <iostream>
 
-#include "wire.hpp"
+#include "simulator/adapter.hpp"
 
 int main() {
     std::ios::sync_with_stdio(false);
--- a/src/store/writer.cpp
+++ b/src/storage/background_writer.cpp
@@ -1,8 +1,8 @@
-#include "store/writer.hpp"
+#include "storage/background_writer.hpp"
 
 #include <algorithm>
 
-namespace ochregrade::store {
+namespace ochregrade::storage {
 
 namespace {
 constexpr int kMostDoublings = 6;
@@ -82,4 +82,4 @@
     s.changed.notify_all();
 }
 
-}  // namespace ochregrade::store
+}  // namespace ochregrade::storage
--- a/src/store/writer.hpp
+++ b/src/storage/background_writer.hpp
@@ -10,9 +10,9 @@
 #include <string>
 #include <thread>
 
-#include "store/store.hpp"
+#include "storage/record_store.hpp"
 
-namespace ochregrade::store {
+namespace ochregrade::storage {
 
 class Writer {
 public:
@@ -50,4 +50,4 @@
     std::thread thread_;
 };
 
-}  // namespace ochregrade::store
+}  // namespace ochregrade::storage
--- a/src/store/folder.cpp
+++ b/src/storage/directory.cpp
@@ -1,4 +1,4 @@
-#include "store/folder.hpp"
+#include "storage/directory.hpp"
 
 #include <dirent.h>
 #include <fcntl.h>
@@ -8,7 +8,7 @@
 
 #include <cerrno>
 
-namespace ochregrade::store {
+namespace ochregrade::storage {
 
 namespace {
 
@@ -118,4 +118,4 @@
     return {std::move(folder), 0};
 }
 
-}  // namespace ochregrade::store
+}  // namespace ochregrade::storage
--- a/src/store/folder.hpp
+++ b/src/storage/directory.hpp
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-namespace ochregrade::store {
+namespace ochregrade::storage {
 
 class Folder {
 public:
@@ -34,4 +34,4 @@
 };
 OpenedFolder open_folder(const std::string& path);
 
-}  // namespace ochregrade::store
+}  // namespace ochregrade::storage
--- a/src/store/store.cpp
+++ b/src/storage/record_store.cpp
@@ -1,11 +1,11 @@
-#include "store/store.hpp"
+#include "storage/record_store.hpp"
 
 #include <algorithm>
 #include <boost/crc.hpp>
 #include <charconv>
 #include <cstring>
 
-namespace ochregrade::store {
+namespace ochregrade::storage {
 
 namespace {
 
@@ -210,4 +210,4 @@
     }
 }
 
-}  // namespace ochregrade::store
+}  // namespace ochregrade::storage
--- a/src/store/store.hpp
+++ b/src/storage/record_store.hpp
@@ -11,9 +11,9 @@
 #include <variant>
 #include <vector>
 
-#include "store/folder.hpp"
+#include "storage/directory.hpp"
 
-namespace ochregrade::store {
+namespace ochregrade::storage {
 
 struct Record {
     std::string kind;  // lower-case letters; part of the file's name
@@ -70,4 +70,4 @@
     std::map<std::string, std::vector<std::uint64_t>> ours_;  // records known to be good, oldest first
 };
 
-}  // namespace ochregrade::store
+}  // namespace ochregrade::storage
--- a/tests/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -2,7 +2,7 @@
 #include <cmath>
 #include <stdexcept>
 
-#include "rig.hpp"
+#include "support/balancer_fixture.hpp"
 
 namespace ochregrade::test {
 namespace {
--- a/tests/fleet_test.cpp
+++ b/tests/balancer/many_sidecars_test.cpp
@@ -1,7 +1,7 @@
 // What many sidecars do together: several balancers are given events by hand; no server is modelled.
 #include <cmath>
 
-#include "rig.hpp"
+#include "support/balancer_fixture.hpp"
 
 namespace ochregrade::test {
 namespace {
--- a/tests/rules_test.cpp
+++ b/tests/balancer/rules_test.cpp
@@ -1,6 +1,6 @@
 // Rules 1 to 3 on every action, over seeded random but legal event sequences, and each rule's temptation.
 // The sequences pick outcomes at random; no server is modelled here.
-#include "rig.hpp"
+#include "support/balancer_fixture.hpp"
 
 namespace ochregrade::test {
 namespace {
--- a/tests/share_test.cpp
+++ b/tests/balancer/shared_evidence_test.cpp
@@ -1,5 +1,5 @@
 // What the module makes of the evidence that sidecars share, and what it shares itself.
-#include "rig.hpp"
+#include "support/balancer_fixture.hpp"
 
 namespace ochregrade::test {
 namespace {
--- a/tests/log_test.cpp
+++ b/tests/common/log_test.cpp
@@ -1,5 +1,5 @@
 // The sidecar's log: one JSON object a line whatever a message holds, and no more than its rate allows.
-#include "net/log.hpp"
+#include "common/log.hpp"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -24,7 +24,7 @@
     }
     ~Captured() { std::remove(path_.c_str()); }
     std::vector<std::string> lines() {
-        ochregrade::net::log_sink().flush();
+        ochregrade::sidecar::log_sink().flush();
         ::dup2(saved_, 2);
         ::close(saved_);
         std::vector<std::string> out;
@@ -40,8 +40,8 @@
 
 TEST(Log, EachLineIsAJsonObjectWhateverTheMessageHolds) {
     Captured captured;
-    ochregrade::net::log_line("a peer said \"all dead\" \\ and\nmore\x01");
-    ochregrade::net::log_line(std::string("bytes \xff\xfe that are no UTF-8"));
+    ochregrade::sidecar::log_line("a peer said \"all dead\" \\ and\nmore\x01");
+    ochregrade::sidecar::log_line(std::string("bytes \xff\xfe that are no UTF-8"));
     const auto lines = captured.lines();
     ASSERT_EQ(lines.size(), 2u);
     const auto first = nlohmann::json::parse(lines[0]);
@@ -54,14 +54,14 @@
 
 TEST(Log, ABurstIsCutAndWhatWasLeftOutIsSaid) {
     Captured captured;
-    for (int i = 0; i < 1000; ++i) ochregrade::net::log_line("line " + std::to_string(i));
+    for (int i = 0; i < 1000; ++i) ochregrade::sidecar::log_line("line " + std::to_string(i));
     const auto lines = captured.lines();
     // The allowance is 100 lines and 2 a second; the test's earlier lines took some of it.
     EXPECT_LE(lines.size(), 105u);
     EXPECT_GE(lines.size(), 50u);
     Captured again;
     ::usleep(600 * 1000);  // one more line's worth of allowance
-    ochregrade::net::log_line("after");
+    ochregrade::sidecar::log_line("after");
     const auto later = again.lines();
     ASSERT_GE(later.size(), 2u);
     EXPECT_NE(nlohmann::json::parse(later[0]).at("msg").get<std::string>().find("lines left out"),
--- a/tests/config_test.cpp
+++ b/tests/control/config_test.cpp
@@ -3,11 +3,11 @@
 #include <fstream>
 #include <sstream>
 
-#include "net/fields.hpp"
-#include "net/generations.hpp"
-#include "net_rig.hpp"
+#include "control/config_schema.hpp"
+#include "control/config_versions.hpp"
+#include "support/sidecar_fixture.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 namespace {
 
 using Source = Generations::Source;
@@ -379,4 +379,4 @@
 }
 
 }  // namespace
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/tests/reload_test.cpp
+++ b/tests/process/reload_test.cpp
@@ -2,9 +2,9 @@
 // what clients and servers see of them.
 #include <sys/resource.h>
 
-#include "net_rig.hpp"
+#include "support/sidecar_fixture.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 namespace {
 
 using std::chrono::steady_clock;
@@ -615,4 +615,4 @@
 }
 
 }  // namespace
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/tests/endings_test.cpp
+++ b/tests/proxy/endings_test.cpp
@@ -3,11 +3,11 @@
 #include <linux/sockios.h>
 #include <sys/ioctl.h>
 
-#include "net/discovery.hpp"
-#include "net/requests_ahead.hpp"
-#include "net_rig.hpp"
+#include "discovery/discovery_client.hpp"
+#include "proxy/pipelined_requests.hpp"
+#include "support/sidecar_fixture.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 namespace {
 
 using std::chrono::steady_clock;
@@ -847,4 +847,4 @@
 }
 
 }  // namespace
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/tests/rule_guard_test.cpp
+++ b/tests/proxy/rule_guard_test.cpp
@@ -1,10 +1,10 @@
 // The last check before a send, a refusal, an answer and a close: each reason, and which of them are
 // violations.
-#include "net/rule_guard.hpp"
+#include "proxy/rule_guard.hpp"
 
 #include <gtest/gtest.h>
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 namespace {
 
 RequestFacts request_of(Effect effect) {
@@ -92,4 +92,4 @@
 }
 
 }  // namespace
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/tests/net_test.cpp
+++ b/tests/proxy/sidecar_test.cpp
@@ -3,9 +3,9 @@
 
 #include <fstream>
 
-#include "net_rig.hpp"
+#include "support/sidecar_fixture.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 namespace {
 
 using std::chrono::steady_clock;
@@ -1103,4 +1103,4 @@
 }
 
 }  // namespace
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/tests/fault_test.cpp
+++ b/tests/proxy/system_call_faults_test.cpp
@@ -3,10 +3,10 @@
 #include <sys/mman.h>
 #include <sys/stat.h>
 
-#include "process_rig.hpp"
 #include "soak/fault_slots.hpp"
+#include "support/process_fixture.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 namespace {
 
 using namespace fault_shim;
@@ -197,4 +197,4 @@
 }
 
 }  // namespace
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/tests/trace_test.cpp
+++ b/tests/proxy/trace_test.cpp
@@ -1,7 +1,7 @@
 // What can be found out about one request afterwards: its trace and the counters by reason.
-#include "process_rig.hpp"
+#include "support/process_fixture.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 namespace {
 
 std::vector<json> trace_of(const std::string& path, const std::string& id) {
@@ -46,4 +46,4 @@
 }
 
 }  // namespace
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/tests/crash_test.cpp
+++ b/tests/recovery/crash_test.cpp
@@ -1,7 +1,7 @@
 // The real program, killed while it serves and while its configuration changes, and started again.
-#include "process_rig.hpp"
+#include "support/process_fixture.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 namespace {
 
 TEST(Killed, WhileItServesAndChangesItComesBackWithTheOldOrTheNewConfiguration) {
@@ -182,4 +182,4 @@
 }
 
 }  // namespace
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/tests/keeper_test.cpp
+++ b/tests/recovery/state_store_test.cpp
@@ -1,11 +1,11 @@
 // What a later life may trust: ages, verification, crash loops, and which configuration it starts with.
-#include "net_rig.hpp"
-#include "sim_folder.hpp"
+#include "support/sidecar_fixture.hpp"
+#include "support/simulated_directory.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 namespace {
 
-using store::SimFolder;
+using storage::SimFolder;
 using State = Generations::State;
 
 const Stamp kThen{1e12, 5e6, "boot-a"};
@@ -142,7 +142,7 @@
              {"kept", {{{"generation", 1}, {"content_of", 1}, {"at_ms", 0}, {"config", R"({"name":5})"}}}}}
             .dump()};
     for (const std::string& payload : nonsense) {
-        store::Store store(*disk.folder, [](const std::string&) {});
+        storage::Store store(*disk.folder, [](const std::string&) {});
         ASSERT_EQ(store.save("config", payload), 0);
         ASSERT_EQ(store.save("world", payload), 0);
         const Recovered r = disk.live();
@@ -235,7 +235,7 @@
                          {"next", 5},
                          {"on_trial", false},
                          {"kept", json::array()}};
-    store::Store(*disk.folder, [](const std::string&) {}).save("config", record.dump());
+    storage::Store(*disk.folder, [](const std::string&) {}).save("config", record.dump());
     const Start s = decide_start(file, disk.recover());
     EXPECT_EQ(s.source, Generations::Source::recovery);
     EXPECT_EQ(s.config.settings.max_attempts, 2u);
@@ -295,4 +295,4 @@
 }
 
 }  // namespace
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/tests/decode_fuzz.cpp
+++ b/tests/replication/decode_fuzz.cpp
@@ -9,9 +9,9 @@
 #include <iterator>
 #include <random>
 
-#include "fleet/replica.hpp"
+#include "replication/replica.hpp"
 
-using namespace ochregrade::fleet;
+using namespace ochregrade::replication;
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     const std::span<const std::uint8_t> bytes(data, size);
--- a/tests/fleet_state_test.cpp
+++ b/tests/replication/replica_test.cpp
@@ -1,15 +1,16 @@
 // The fleet's shared state: its merge and codec as properties, one replica against bad peers, and many of
 // them on a simulated network through thousands of seeded schedules of faults.
+#include "replication/replica.hpp"
+
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <rapidcheck/gtest.h>
 
 #include <algorithm>
 
-#include "fleet/replica.hpp"
-#include "lab/simnet.hpp"
+#include "lab/simulated_network.hpp"
 
-namespace ochregrade::fleet {
+namespace ochregrade::replication {
 // Equality of all that is held, not only of what the fingerprint covers.
 template <class Value>
 bool operator==(const Record<Value>& a, const Record<Value>& b) {
@@ -19,11 +20,11 @@
     return a.standing() == b.standing() && a.floor() == b.floor() && a.evidence() == b.evidence() &&
            a.versions() == b.versions();
 }
-}  // namespace ochregrade::fleet
+}  // namespace ochregrade::replication
 
 namespace {
 
-using namespace ochregrade::fleet;
+using namespace ochregrade::replication;
 using ochregrade::lab::Network;
 using ochregrade::lab::SimFleet;
 
--- a/tests/agreement_test.cpp
+++ b/tests/replication/version_agreement_test.cpp
@@ -1,14 +1,14 @@
 // Agreement on versions: when a newer one is asked for, and a history check over seeded schedules on a
 // simulated network, which must notice when the asking is taken out.
-#include "fleet/agreement.hpp"
+#include "replication/version_agreement.hpp"
 
 #include <gtest/gtest.h>
 
-#include "lab/simnet.hpp"
+#include "lab/simulated_network.hpp"
 
 namespace {
 
-using namespace ochregrade::fleet;
+using namespace ochregrade::replication;
 using ochregrade::lab::Network;
 using ochregrade::lab::SimFleet;
 
--- a/tests/wire_test.cpp
+++ b/tests/simulator/adapter_test.cpp
@@ -1,5 +1,5 @@
 // The codec and the host, on text as the simulator would write it.
-#include "wire.hpp"
+#include "simulator/adapter.hpp"
 
 #include <gtest/gtest.h>
 
--- a/tests/store_test.cpp
+++ b/tests/storage/record_store_test.cpp
@@ -1,6 +1,6 @@
 // Durable state on a file system that loses whatever it is allowed to lose: every crash point, every allowed
 // set of surviving writes and names, and every single failing call.
-#include "store/store.hpp"
+#include "storage/record_store.hpp"
 
 #include <gtest/gtest.h>
 
@@ -9,10 +9,10 @@
 #include <fstream>
 #include <set>
 
-#include "sim_folder.hpp"
-#include "store/writer.hpp"
+#include "storage/background_writer.hpp"
+#include "support/simulated_directory.hpp"
 
-namespace ochregrade::store {
+namespace ochregrade::storage {
 namespace {
 
 const auto kSense = [](const Record&) { return std::string(); };
@@ -308,4 +308,4 @@
 }
 
 }  // namespace
-}  // namespace ochregrade::store
+}  // namespace ochregrade::storage
--- a/tests/process_rig.hpp
+++ b/tests/support/process_fixture.hpp
@@ -6,11 +6,11 @@
 
 #include <filesystem>
 
-#include "net_rig.hpp"
+#include "support/sidecar_fixture.hpp"
 
 extern char** environ;
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 // What it has of this machine goes with it.
 class Place {
@@ -157,4 +157,4 @@
     }
 };
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/tests/net_rig.hpp
+++ b/tests/support/sidecar_fixture.hpp
@@ -20,9 +20,9 @@
 #include <sstream>
 #include <thread>
 
-#include "net/node.hpp"
+#include "process/node.hpp"
 
-namespace ochregrade::net {
+namespace ochregrade::sidecar {
 
 using nlohmann::json;
 constexpr std::chrono::seconds kPatience{30};
@@ -460,4 +460,4 @@
     Upstream upstream;
 };
 
-}  // namespace ochregrade::net
+}  // namespace ochregrade::sidecar
--- a/tests/sim_folder.hpp
+++ b/tests/support/simulated_directory.hpp
@@ -10,9 +10,9 @@
 #include <string>
 #include <vector>
 
-#include "store/folder.hpp"
+#include "storage/directory.hpp"
 
-namespace ochregrade::store {
+namespace ochregrade::storage {
 
 struct Crash {};
 
@@ -160,4 +160,4 @@
     FilePtr open_;
 };
 
-}  // namespace ochregrade::store
+}  // namespace ochregrade::storage
