--- a/bench/crash.py
+++ b/bench/crash.py
@@ -60,8 +60,15 @@
                     first, share = await restart(sidecar, discovery, number)
                 finally:
                     await sidecar.stop()
-            rows.append({"run": number, "state": "with" if state else "without", "discovery": "up" if up else "down",
-                         "first served ms": round(first * 1000) if first else "-", "served in 2 s": round(share, 3)})
+            rows.append(
+                {
+                    "run": number,
+                    "state": "with" if state else "without",
+                    "discovery": "up" if up else "down",
+                    "first served ms": round(first * 1000) if first else "-",
+                    "served in 2 s": round(share, 3),
+                }
+            )
     return rows
 
 
@@ -101,14 +108,18 @@
             await sidecar.stop()
         files = os.listdir(folder)
     per_minute = 60 / args.busy_seconds
-    print(f"busy day, {args.busy_seconds:.0f} s: {fleet.metric(metrics, 'state_writes_total') * per_minute:.0f} writes "
-          f"and {fleet.metric(metrics, 'state_bytes_total') * per_minute / 1024:.0f} KiB a minute, "
-          f"{fleet.metric(metrics, 'state_write_failures_total'):.0f} failed; {removed} servers removed at the end, "
-          f"{len(files)} files; {clients.ended['served']} of {clients.asked} served")
+    print(
+        f"busy day, {args.busy_seconds:.0f} s: {fleet.metric(metrics, 'state_writes_total') * per_minute:.0f} writes "
+        f"and {fleet.metric(metrics, 'state_bytes_total') * per_minute / 1024:.0f} KiB a minute, "
+        f"{fleet.metric(metrics, 'state_write_failures_total'):.0f} failed; {removed} servers removed at the end, "
+        f"{len(files)} files; {clients.ended['served']} of {clients.asked} served"
+    )
 
 
 async def main():
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--program", default="build/cobaltshift")
     parser.add_argument("--runs", type=int, default=10)
     parser.add_argument("--busy-seconds", type=float, default=60)
@@ -123,9 +134,11 @@
             part = [r for r in rows if (r["state"], r["discovery"]) == (state, discovery)]
             times = sorted(r["first served ms"] for r in part if r["first served ms"] != "-")
             share = sorted(r["served in 2 s"] for r in part)
-            print(f"{state} state, discovery {discovery}, {len(part)} runs: first served "
-                  + (f"after {fleet.median(times)} ms ({times[0]} to {times[-1]})" if times else "never")
-                  + f"; served in 2 s {fleet.median(share):.3f} ({share[0]:.3f} to {share[-1]:.3f})")
+            print(
+                f"{state} state, discovery {discovery}, {len(part)} runs: first served "
+                + (f"after {fleet.median(times)} ms ({times[0]} to {times[-1]})" if times else "never")
+                + f"; served in 2 s {fleet.median(share):.3f} ({share[0]:.3f} to {share[-1]:.3f})"
+            )
     if args.busy_seconds > 0:
         await busy(args)
 
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -69,8 +69,16 @@
     def hosts(self, listed):
         """So many entries for the list; several may share a port."""
         return [
-            {"host": f"s-{i:03d}", "dial": f"127.0.0.1:{self.ports[i % self.count]}", "site": "a", "class": "m",
-             "block": 0, "health": "SERVING", "share": 1.0, "born_ms": 0}
+            {
+                "host": f"s-{i:03d}",
+                "dial": f"127.0.0.1:{self.ports[i % self.count]}",
+                "site": "a",
+                "class": "m",
+                "block": 0,
+                "health": "SERVING",
+                "share": 1.0,
+                "born_ms": 0,
+            }
             for i in range(listed)
         ]
 
@@ -105,7 +113,9 @@
                     after = int(target.split("after=")[1].split("&")[0])
                     if after >= self.seq:
                         try:
-                            await asyncio.wait_for(self._changed.wait(), int(target.split("wait_ms=")[1]) / 1000)
+                            await asyncio.wait_for(
+                                self._changed.wait(), int(target.split("wait_ms=")[1]) / 1000
+                            )
                         except asyncio.TimeoutError:
                             pass
                     whole = after != self.seq
@@ -120,6 +130,7 @@
 
 def free_port():
     import socket
+
     with socket.socket() as s:
         s.bind(("127.0.0.1", 0))
         return s.getsockname()[1]
@@ -145,13 +156,16 @@
     async def start(self):
         with open(self.log, "ab") as log:
             self.process = await asyncio.create_subprocess_exec(
-                self.program, env={**os.environ, "NODE_CONFIG": self.path}, stderr=log)
+                self.program, env={**os.environ, "NODE_CONFIG": self.path}, stderr=log
+            )
 
     async def ready(self, seconds=10):
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             if self.process.returncode is not None:
-                raise RuntimeError(f"the sidecar ended with {self.process.returncode}: {open(self.log).read()}")
+                raise RuntimeError(
+                    f"the sidecar ended with {self.process.returncode}: {open(self.log).read()}"
+                )
             reply = await call(self.port, "GET", "/healthz")
             if reply and reply[0] == 200:
                 return
@@ -179,8 +193,10 @@
     except (OSError, asyncio.TimeoutError):
         return None
     try:
-        writer.write(f"{method} {target} HTTP/1.1\r\nHost: 127.0.0.1\r\nConnection: close\r\n"
-                     f"Content-Length: {len(body)}\r\n\r\n".encode() + body)
+        writer.write(
+            f"{method} {target} HTTP/1.1\r\nHost: 127.0.0.1\r\nConnection: close\r\n"
+            f"Content-Length: {len(body)}\r\n\r\n".encode() + body
+        )
         message = await asyncio.wait_for(read_message(reader), timeout)
         return (int(message[0].split(" ")[1]), message[2]) if message else None
     except (OSError, asyncio.TimeoutError):
@@ -200,7 +216,7 @@
         self.random = random.Random(seed)
         self.asked = 0
         self.ended = {"served": 0, "refused": 0, "failed": 0, "lost": 0}
-        self.wrong = 0       # a body that belongs to another request
+        self.wrong = 0  # a body that belongs to another request
         self.first_served = None
         self._stop = False
 
@@ -227,10 +243,13 @@
         rid = f"{self.random.getrandbits(64):016x}"
         target = f"/{name}?sid={rid}"
         body = b"x" * 100 if method == "POST" else b""
-        text = (f"{method} {target} HTTP/1.1\r\nHost: api\r\nX-Correlation-Id: {rid}\r\nX-Service-Class: {name}\r\n"
-                f"X-Time-Left: {self.time_left_ms}m\r\n" +
-                (f"Content-Length: {len(body)}\r\n" if body else "") + "\r\n").encode() + body
-        for fresh in ([False, True] if connection else [True]):
+        text = (
+            f"{method} {target} HTTP/1.1\r\nHost: api\r\nX-Correlation-Id: {rid}\r\nX-Service-Class: {name}\r\n"
+            f"X-Time-Left: {self.time_left_ms}m\r\n"
+            + (f"Content-Length: {len(body)}\r\n" if body else "")
+            + "\r\n"
+        ).encode() + body
+        for fresh in [False, True] if connection else [True]:
             # A connection closed between requests is no loss: the request is sent once more on a new one.
             try:
                 if fresh:
@@ -264,20 +283,40 @@
 
 def a_config(discovery_port, hosts, peers=300):
     """A configuration of a large fleet's size, in the platform's form."""
-    kind = lambda name, effect: {"name": name, "effect": effect, "on-time-ms": 500, "give-up-ms": 2000, "credit": 2}
+    kind = lambda name, effect: {
+        "name": name,
+        "effect": effect,
+        "on-time-ms": 500,
+        "give-up-ms": 2000,
+        "credit": 2,
+    }
     own = free_port()
     return {
-        "name": "n0", "listen": f"127.0.0.1:{free_port()}", "discovery": f"127.0.0.1:{discovery_port}", "seed": "1f",
+        "name": "n0",
+        "listen": f"127.0.0.1:{free_port()}",
+        "discovery": f"127.0.0.1:{discovery_port}",
+        "seed": "1f",
         "limits": {"sockets": 1024, "memory_mb": 64},
         "peer_listen": f"127.0.0.1:{own}",
-        "peers": [f"127.0.0.1:{own}"] + [f"127.0.9.{1 + i // 100}:{20000 + i % 100}" for i in range(peers - 1)],
+        "peers": [f"127.0.0.1:{own}"]
+        + [f"127.0.9.{1 + i // 100}:{20000 + i % 100}" for i in range(peers - 1)],
         "known": {"seq": 41, "whole": True, "hosts": hosts},
         "cobaltshift": {"admin": {"listen": f"127.0.0.1:{free_port()}"}},
         "settings": {
             "classes": [kind("listen", "repeatable"), kind("deposit", "once")],
-            "siblings": peers, "my-number": 0, "my-zone": "a", "azs": ["a", "b"],
-            "limits": {"max-attempts": 5, "may-cancel": True, "may-probe": True, "may-tell": True,
-                       "connect-timeout-ms": 250, "idle-close-ms": 60000, "max-retry-after-ms": 2000},
+            "siblings": peers,
+            "my-number": 0,
+            "my-zone": "a",
+            "azs": ["a", "b"],
+            "limits": {
+                "max-attempts": 5,
+                "may-cancel": True,
+                "may-probe": True,
+                "may-tell": True,
+                "connect-timeout-ms": 250,
+                "idle-close-ms": 60000,
+                "max-retry-after-ms": 2000,
+            },
             "rules": {"cold-from": 0.12, "fall-multiple": 3, "warm-within-ms": 24000},
             "fees": {"cross-zone": 0.01, "probe": 0.01},
         },
--- a/bench/reload.py
+++ b/bench/reload.py
@@ -76,13 +76,19 @@
             await asyncio.gather(*tasks)
             admin = int(one["cobaltshift"]["admin"]["listen"].rsplit(":", 1)[1])
             metrics = (await fleet.call(admin, "GET", "/metrics"))[1]
-            rows.append({
-                "run": number, "changes": phase, "asked": clients.asked, **clients.ended, "wrong answers": clients.wrong,
-                "ran twice": sum(n > 1 for n in servers.runs.values()),
-                "generation": int(fleet.metric(metrics, "config_generation")),
-                "commit ms": round(fleet.metric(metrics, "config_commit_seconds_max") * 1000, 3),
-                "change ms": round(fleet.metric(metrics, "config_change_seconds_max") * 1000, 3),
-            })
+            rows.append(
+                {
+                    "run": number,
+                    "changes": phase,
+                    "asked": clients.asked,
+                    **clients.ended,
+                    "wrong answers": clients.wrong,
+                    "ran twice": sum(n > 1 for n in servers.runs.values()),
+                    "generation": int(fleet.metric(metrics, "config_generation")),
+                    "commit ms": round(fleet.metric(metrics, "config_commit_seconds_max") * 1000, 3),
+                    "change ms": round(fleet.metric(metrics, "config_change_seconds_max") * 1000, 3),
+                }
+            )
     finally:
         await sidecar.stop()
         folder.cleanup()
@@ -90,7 +96,9 @@
 
 
 async def main():
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--program", default="build/cobaltshift")
     parser.add_argument("--runs", type=int, default=10)
     parser.add_argument("--seconds", type=float, default=3)
@@ -105,12 +113,16 @@
     for phase in ("without", "with"):
         part = [r for r in rows if r["changes"] == phase]
         asked, served = sum(r["asked"] for r in part), sum(r["served"] for r in part)
-        print(f"{phase} changes: {asked - served} of {asked} not served, "
-              f"{sum(r['lost'] for r in part)} lost, {sum(r['wrong answers'] for r in part)} wrong")
+        print(
+            f"{phase} changes: {asked - served} of {asked} not served, "
+            f"{sum(r['lost'] for r in part)} lost, {sum(r['wrong answers'] for r in part)} wrong"
+        )
     changed = [r for r in rows if r["changes"] == "with"]
-    print(f"longest pause for a commit: median {fleet.median([r['commit ms'] for r in changed])} ms, "
-          f"worst {max(r['commit ms'] for r in changed)} ms; with reading and checking: "
-          f"median {fleet.median([r['change ms'] for r in changed])} ms, worst {max(r['change ms'] for r in changed)} ms")
+    print(
+        f"longest pause for a commit: median {fleet.median([r['commit ms'] for r in changed])} ms, "
+        f"worst {max(r['commit ms'] for r in changed)} ms; with reading and checking: "
+        f"median {fleet.median([r['change ms'] for r in changed])} ms, worst {max(r['change ms'] for r in changed)} ms"
+    )
 
 
 asyncio.run(main())
--- a/bench/survey.py
+++ b/bench/survey.py
@@ -15,7 +15,16 @@
 import sys
 import tempfile
 
-HEADER = ("day", "seed", "nodes", "served, wanted", "worst class", "worst tenant", "ready, s", "falls short of")
+HEADER = (
+    "day",
+    "seed",
+    "nodes",
+    "served, wanted",
+    "worst class",
+    "worst tenant",
+    "ready, s",
+    "falls short of",
+)
 DAYS = "calm+mass,roll+mass,herd+mass,zone+mass,split+mass,join+mass"
 LONGEST_READY_S = 30
 # The gate does not ask for a class or tenant that the late-seeing policy serves under 0.3 of. It wants half of that
@@ -56,7 +65,9 @@
     for rule, broken in sorted((row.get("rules") or {}).items()):
         if number(broken, f"row.rules.{rule}") > 0:
             short.append(f"rule {rule}")
-    served, wanted = number(row.get("served"), "row.served"), number(row.get("served_least"), "row.served_least")
+    served, wanted = number(row.get("served"), "row.served"), number(
+        row.get("served_least"), "row.served_least"
+    )
     if served < wanted:
         short.append("served")
     classes, tenants = shares(row, "by_class", 1 / 2), shares(row, "by_tenant", 1 / 3)
@@ -72,8 +83,16 @@
     def worst(of):
         return f"{of[0][0]} {of[0][1]:.3f}, {of[0][2]:.3f}" if of else "-"
 
-    cells = (row.get("name", "?"), str(row.get("seed", "?")), str(row.get("nodes", "?")), f"{served:.3f}, {wanted:.3f}",
-             worst(classes), worst(tenants), f"{ready:.1f}", "; ".join(short) or "nothing")
+    cells = (
+        row.get("name", "?"),
+        str(row.get("seed", "?")),
+        str(row.get("nodes", "?")),
+        f"{served:.3f}, {wanted:.3f}",
+        worst(classes),
+        worst(tenants),
+        f"{ready:.1f}",
+        "; ".join(short) or "nothing",
+    )
     return cells, short
 
 
@@ -97,7 +116,9 @@
 
 
 def main():
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("site", nargs="?")
     parser.add_argument("--bench", help="the program that plays days")
     parser.add_argument("--days", default=DAYS)
@@ -114,7 +135,9 @@
         parser.error("a site and --bench are wanted, or --read")
     else:
         days = [(day, int(seed)) for day in args.days.split(",") for seed in args.seeds.split(",")]
-        with tempfile.TemporaryDirectory() as folder, concurrent.futures.ThreadPoolExecutor(args.jobs) as pool:
+        with tempfile.TemporaryDirectory() as folder, concurrent.futures.ThreadPoolExecutor(
+            args.jobs
+        ) as pool:
             results = list(pool.map(lambda one: play(args, folder, *one), days))
     print("| " + " | ".join(HEADER) + " |\n|" + " --- |" * len(HEADER))
     for cells, _ in results:
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
 # The one test command: configures and builds into a folder, then runs every test.
-#   tests/run.sh [FOLDER [CMAKE OPTIONS...]]
+#
+#   tests/run.sh [FOLDER [CMAKE OPTION...]]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 folder=${1:-build-tests}
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -7,11 +7,13 @@
 
 KINDS = {"read": "GET", "pay": "POST", "note": "POST"}
 CONNECT_S = 2.0
-AFTER_DEADLINE_S = 0.5   # an answer this late still counts as one
+AFTER_DEADLINE_S = 0.5  # an answer this late still counts as one
 HALF_REQUEST_WAIT_S = 4.0
 # Half a request behind whole ones has its end soon after the last answer, if that came later than its own time.
 HALF_BEHIND_S = 2.5
-HALF_REQUEST = b"POST /pay?sid=7f HTTP/1.1\r\nHost: api\r\nX-Correlation-Id: h1\r\nContent-Length: 50\r\n\r\nhalf"
+HALF_REQUEST = (
+    b"POST /pay?sid=7f HTTP/1.1\r\nHost: api\r\nX-Correlation-Id: h1\r\nContent-Length: 50\r\n\r\nhalf"
+)
 IDLE_CROWD = 170  # connections that say nothing: more than a sidecar takes
 
 
@@ -20,7 +22,7 @@
         self.number, self.address, self.port = number, address, port
         self.records, self.random, self.rate = records, random, rate
         self.resting = []
-        self.accepting = True    # new connections may be opened
+        self.accepting = True  # new connections may be opened
         self.serial = 0
         self.tasks = set()
 
@@ -57,8 +59,13 @@
 
     def _text(self, request):
         method = KINDS[request.kind]
-        lines = [f"{method} /{request.kind}?sid=7f HTTP/1.1", "Host: api", f"X-Correlation-Id: {request.id}",
-                 f"X-Service-Class: {request.kind}", f"X-Time-Left: {int(request.time_left * 1000)}m"]
+        lines = [
+            f"{method} /{request.kind}?sid=7f HTTP/1.1",
+            "Host: api",
+            f"X-Correlation-Id: {request.id}",
+            f"X-Service-Class: {request.kind}",
+            f"X-Time-Left: {int(request.time_left * 1000)}m",
+        ]
         if request.kind == "note":
             lines.append(f"Idempotency-Key: {request.key}")
         body = b""
@@ -68,7 +75,9 @@
         return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
     async def _connect(self):
-        return await asyncio.wait_for(asyncio.open_connection(self.address, self.port, limit=1 << 20), CONNECT_S)
+        return await asyncio.wait_for(
+            asyncio.open_connection(self.address, self.port, limit=1 << 20), CONNECT_S
+        )
 
     def _new_name(self):
         self.serial += 1
@@ -138,9 +147,13 @@
         requests = []
         for _ in range(self.random.randrange(2, 6)):
             name, kind = self._new_name(), self.random.choice(list(KINDS))
-            requests.append(Request(name, self.number, kind, name, 0, self.random.choice((0.6, 1.2)), not requests))
+            requests.append(
+                Request(name, self.number, kind, name, 0, self.random.choice((0.6, 1.2)), not requests)
+            )
         text = b"".join(self._text(request) for request in requests)
-        half = HALF_REQUEST[:self.random.randrange(1, len(HALF_REQUEST))] if self.random.random() < 0.5 else b""
+        half = (
+            HALF_REQUEST[: self.random.randrange(1, len(HALF_REQUEST))] if self.random.random() < 0.5 else b""
+        )
         sent_at = time.monotonic()
         for request in requests:
             request.sent_at = sent_at
@@ -153,7 +166,11 @@
                 message = await asyncio.wait_for(http1.read_message(reader, response=True), patience)
                 if message is None:
                     raise ConnectionResetError
-                request.answered_at, request.status, request.body = message.last_byte_at, message.status, message.body
+                request.answered_at, request.status, request.body = (
+                    message.last_byte_at,
+                    message.status,
+                    message.body,
+                )
                 if message.headers.get("connection", "").lower() == "close":
                     raise ConnectionResetError
         except asyncio.TimeoutError:
@@ -168,7 +185,9 @@
             writer.close()
             return
         if half:
-            await self._await_end(HalfRequest(self.number, max(sent_at, time.monotonic() - HALF_BEHIND_S)), reader)
+            await self._await_end(
+                HalfRequest(self.number, max(sent_at, time.monotonic() - HALF_BEHIND_S)), reader
+            )
         writer.close()
 
     async def _stop_half_way(self):
@@ -178,7 +197,7 @@
             return
         half = HalfRequest(self.number, time.monotonic())
         try:
-            writer.write(HALF_REQUEST[:self.random.randrange(1, len(HALF_REQUEST))])
+            writer.write(HALF_REQUEST[: self.random.randrange(1, len(HALF_REQUEST))])
             await writer.drain()
         except OSError:
             pass
--- a/tests/soak/discovery.py
+++ b/tests/soak/discovery.py
@@ -15,17 +15,17 @@
     def __init__(self, records, random, leaves_out_draining=False):
         self.records, self.random, self.leaves_out_draining = records, random, leaves_out_draining
         self.seq = 40
-        self.entries = {}       # name: the newest entry
-        self.changed_at = {}    # name: the version of its newest entry
+        self.entries = {}  # name: the newest entry
+        self.changed_at = {}  # name: the version of its newest entry
         self.down = False
-        self.slow_s = 0.0       # each answer takes up to this
-        self.crowded = 0.0      # this share of calls gets 503
+        self.slow_s = 0.0  # each answer takes up to this
+        self.crowded = 0.0  # this share of calls gets 503
         self._news = asyncio.Condition()
         self._servers = []
         self._watches = {}
         self._writers = {}
-        self._places = {}            # sidecar: the ports at which it may be told to ask; the first answers
-        self._silent_calls = set()   # sidecars whose next call gets no answer
+        self._places = {}  # sidecar: the ports at which it may be told to ask; the first answers
+        self._silent_calls = set()  # sidecars whose next call gets no answer
 
     async def start(self, sidecars):
         for i in range(sidecars):
@@ -134,7 +134,9 @@
         self._watches[id(watch)] = watch
         try:
             async with self._news:
-                await asyncio.wait_for(self._news.wait_for(lambda: self.seq != seq and not watch["silent"]), seconds)
+                await asyncio.wait_for(
+                    self._news.wait_for(lambda: self.seq != seq and not watch["silent"]), seconds
+                )
         except asyncio.TimeoutError:
             pass
         finally:
--- a/tests/soak/guide_servers.py
+++ b/tests/soak/fake_upstreams.py
@@ -15,8 +15,19 @@
 class GuideServer:
     """Answers by its mode; each connection and each request draws its fate from the run's random source."""
 
-    MODES = ("ok", "error", "away", "hang", "reset", "cut", "no_length", "no_length_reset", "twice", "endless",
-             "close_idle")
+    MODES = (
+        "ok",
+        "error",
+        "away",
+        "hang",
+        "reset",
+        "cut",
+        "no_length",
+        "no_length_reset",
+        "twice",
+        "endless",
+        "close_idle",
+    )
 
     def __init__(self, name, records, random):
         self.name, self.records, self.random = name, records, random
@@ -40,8 +51,16 @@
         self.proxy.reset_all()
 
     def entry(self, health):
-        return {"host": self.name, "dial": f"127.0.0.1:{self.proxy.port}", "site": "a", "class": "m", "block": 0,
-                "health": health, "share": 1.0, "born_ms": int(self.born * 1000)}
+        return {
+            "host": self.name,
+            "dial": f"127.0.0.1:{self.proxy.port}",
+            "site": "a",
+            "class": "m",
+            "block": 0,
+            "health": health,
+            "share": 1.0,
+            "born_ms": int(self.born * 1000),
+        }
 
     def set_mode(self, mode, share):
         self.mode, self.share = mode, share
@@ -54,7 +73,13 @@
                 message = await asyncio.wait_for(http1.read_message(reader), idle)
                 if message is None or not await self._answer(message, writer):
                     break
-        except (OSError, asyncio.TimeoutError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, ValueError):
+        except (
+            OSError,
+            asyncio.TimeoutError,
+            asyncio.IncompleteReadError,
+            asyncio.LimitOverrunError,
+            ValueError,
+        ):
             pass
         finally:
             self._writers.discard(writer)
@@ -66,8 +91,13 @@
         if request is None:
             return None
         told = message.headers.get("x-time-left", "0u")
-        attempt = Attempt(self.name, request.sidecar, message.first_byte_at, message.last_byte_at,
-                          float(told[:-1]) / (1000 if told[-1] == "u" else 1))
+        attempt = Attempt(
+            self.name,
+            request.sidecar,
+            message.first_byte_at,
+            message.last_byte_at,
+            float(told[:-1]) / (1000 if told[-1] == "u" else 1),
+        )
         request.attempts.append(attempt)
         return attempt
 
@@ -134,9 +164,9 @@
 
     def __init__(self, target, random):
         self.target, self.random = target, random
-        self.split = False      # into small pieces
+        self.split = False  # into small pieces
         self.reset_share = 0.0  # of connections are reset after some bytes
-        self.silent = False     # what is open carries nothing; it is reset once that is over
+        self.silent = False  # what is open carries nothing; it is reset once that is over
         self._connections = set()
         self._accepting, self._fillers = asyncio.Event(), []
         self._accepting.set()
@@ -164,7 +194,9 @@
             reader = asyncio.StreamReader()
             protocol = asyncio.StreamReaderProtocol(reader)
             transport, _ = await loop.connect_accepted_socket(lambda: protocol, connection)
-            task = asyncio.create_task(self._serve(reader, asyncio.StreamWriter(transport, protocol, reader, loop)))
+            task = asyncio.create_task(
+                self._serve(reader, asyncio.StreamWriter(transport, protocol, reader, loop))
+            )
             serving.add(task)
             task.add_done_callback(serving.discard)
 
@@ -204,8 +236,9 @@
         pair = (writer, out_writer)
         self._connections.add(pair)
         budget = [self.random.randrange(1, 2000) if self.random.random() < self.reset_share else 1 << 60]
-        await asyncio.gather(self._carry(reader, out_writer, pair, budget),
-                             self._carry(out_reader, writer, pair, budget))
+        await asyncio.gather(
+            self._carry(reader, out_writer, pair, budget), self._carry(out_reader, writer, pair, budget)
+        )
         self._connections.discard(pair)
 
     async def _carry(self, reader, writer, pair, budget):
@@ -218,7 +251,7 @@
                     raise ConnectionResetError
                 step = max(LEAST_PIECE, len(data) // MOST_PIECES) if self.split else len(data)
                 for at in range(0, len(data), step):
-                    writer.write(data[at:at + step])
+                    writer.write(data[at : at + step])
                     if self.split:
                         await asyncio.sleep(0)
                 await writer.drain()
--- a/tests/soak/troubles.py
+++ b/tests/soak/faults.py
@@ -2,32 +2,52 @@
 import asyncio
 import signal
 
-from guide_servers import IDLE_CLOSE_S, GuideServer
+from fake_upstreams import IDLE_CLOSE_S, GuideServer
 from records import Span
 from shim import FAULTS
 
 SERVER_MODES = [mode for mode in GuideServer.MODES if mode != "ok"]
 QUIET_RATE = 0.5  # requests a second of a sidecar's clients
-SETTLE_S = 1.0    # after a crowd has left
+SETTLE_S = 1.0  # after a crowd has left
 OFTEN = ("system_calls", "terminate", "reload")  # what the other troubles should meet
 RETIRED_SERVER_S = 9.0  # a replaced server answers on for so long
 # Faults that are worse than a call made again: at most this share of calls.
-RAREST = {"broken_connection": 0.03, "stall_before_send": 0.1, "connect_local": 0.1, "socket_no_buffers": 0.1,
-          "accept_no_file": 0.1}
+RAREST = {
+    "broken_connection": 0.03,
+    "stall_before_send": 0.1,
+    "connect_local": 0.1,
+    "socket_no_buffers": 0.1,
+    "accept_no_file": 0.1,
+}
 
 
 class Troubles:
     def __init__(self, run, random):
         self.run, self.random = run, random
         self.kinds = {
-            "server_mode": self._server_mode, "proxy": self._proxy, "replace_server": self._replace_server,
-            "restart_server": self._restart_server, "discovery_down": self._discovery_down, "outage_then_release": self._outage_then_release,
-            "discovery_slow": self._discovery_slow, "discovery_silent": self._discovery_silent,
-            "terminate": self._terminate, "kill": self._kill, "stand_still": self._stand_still,
-            "reload": self._reload, "system_calls": self._system_calls, "disk": self._disk,
-            "wall_clock": self._wall_clock, "burst": self._burst, "quiet": self._quiet, "crowd": self._crowd,
-            "late_connections": self._late_connections, "discovery_call_silent": self._discovery_call_silent,
-            "discovery_moves": self._discovery_moves, "release": self._release}
+            "server_mode": self._server_mode,
+            "proxy": self._proxy,
+            "replace_server": self._replace_server,
+            "restart_server": self._restart_server,
+            "discovery_down": self._discovery_down,
+            "outage_then_release": self._outage_then_release,
+            "discovery_slow": self._discovery_slow,
+            "discovery_silent": self._discovery_silent,
+            "terminate": self._terminate,
+            "kill": self._kill,
+            "stand_still": self._stand_still,
+            "reload": self._reload,
+            "system_calls": self._system_calls,
+            "disk": self._disk,
+            "wall_clock": self._wall_clock,
+            "burst": self._burst,
+            "quiet": self._quiet,
+            "crowd": self._crowd,
+            "late_connections": self._late_connections,
+            "discovery_call_silent": self._discovery_call_silent,
+            "discovery_moves": self._discovery_moves,
+            "release": self._release,
+        }
 
     async def play(self, only, every, until):
         """One trouble after another, `every` seconds in the mean, each running on its own."""
--- a/tests/soak/http1.py
+++ b/tests/soak/http1.py
@@ -52,5 +52,7 @@
     if transport is None or transport.is_closing():
         return
     with contextlib.suppress(OSError):  # without this an abort sends FIN
-        transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        transport.get_extra_info("socket").setsockopt(
+            socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
+        )
     transport.abort()
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -63,10 +63,14 @@
             return
         if request.closed_at is None:
             return self._find("R1", request, "never answered")
-        crowded = any(span.overlaps(request.sent_at, request.closed_at)
-                      for span in self.records.crowds.get(request.sidecar, []))
+        crowded = any(
+            span.overlaps(request.sent_at, request.closed_at)
+            for span in self.records.crowds.get(request.sidecar, [])
+        )
         if (request.new_connection and not crowded) or request.attempts:
-            self._find("R1", request, f"closed with no answer after {request.closed_at - request.sent_at:.3f} s")
+            self._find(
+                "R1", request, f"closed with no answer after {request.closed_at - request.sent_at:.3f} s"
+            )
 
     def _departed(self, request):
         for attempt in request.attempts:
@@ -88,17 +92,29 @@
         if request.kind == "pay" and len(runs) > 1:
             self._find("R4", request, f"arrived {len(runs)} times at {[a.server for a in runs]}")
         if request.kind == "note" and len(runs) > 1:
-            late = runs[-1].at - runs[0].at - DEDUP_WINDOW_S - SOCKET_SLACK_S - self.records.lag_near(runs[-1].at)
+            late = (
+                runs[-1].at
+                - runs[0].at
+                - DEDUP_WINDOW_S
+                - SOCKET_SLACK_S
+                - self.records.lag_near(runs[-1].at)
+            )
             if late > 0:
                 self._find("R4", request, f"repeated {late * 1000:.0f} ms after its key's window")
 
     def _truly_refused(self, request):
-        if request.kind == "pay" and request.status in (429, 503) and any(a.may_have_run for a in request.attempts):
+        if (
+            request.kind == "pay"
+            and request.status in (429, 503)
+            and any(a.may_have_run for a in request.attempts)
+        ):
             self._find("R5", request, "refused, though it may have run")
 
     def _time_told(self, request, attempt):
         left = request.deadline - attempt.first_byte_at
-        over = attempt.told_left_ms / 1000 - left - TIME_SLACK_S - self.records.lag_near(attempt.first_byte_at)
+        over = (
+            attempt.told_left_ms / 1000 - left - TIME_SLACK_S - self.records.lag_near(attempt.first_byte_at)
+        )
         if over > 0:
             self._find("R9", request, f"its server was told {over * 1000:.0f} ms too much")
 
@@ -126,7 +142,9 @@
             return
         late = attempt.first_byte_at - notified - DRAIN_GRACE_S - SOCKET_SLACK_S
         if late - self.records.lag_near(attempt.first_byte_at) > 0:
-            self._find("R6", request, f"sent to {attempt.server} {late * 1000:.0f} ms past the grace of its drain")
+            self._find(
+                "R6", request, f"sent to {attempt.server} {late * 1000:.0f} ms past the grace of its drain"
+            )
 
     def _half_requests(self):
         for half in self.records.half_requests:
@@ -138,12 +156,20 @@
                 self.findings.append(f"R10 a half request at sidecar {half.sidecar} had no end within 3 s")
 
     def _no_length(self):
-        whole = [(r, a) for r in self.records.requests.values() for a in r.attempts
-                 if a.no_length and r.left_at is None and a.at < r.deadline - 0.1
-                 and not self._excused(r.sidecar, r.sent_at, r.deadline)]
+        whole = [
+            (r, a)
+            for r in self.records.requests.values()
+            for a in r.attempts
+            if a.no_length
+            and r.left_at is None
+            and a.at < r.deadline - 0.1
+            and not self._excused(r.sidecar, r.sent_at, r.deadline)
+        ]
         forwarded = sum(1 for r, a in whole if r.status == 200 and r.body == a.body)
         if len(whole) >= FEWEST_NO_LENGTH and forwarded < FORWARDED_SHARE * len(whole):
-            self.findings.append(f"R3 {forwarded} of {len(whole)} whole answers without a length were forwarded")
+            self.findings.append(
+                f"R3 {forwarded} of {len(whole)} whole answers without a length were forwarded"
+            )
 
     def _slow_start(self):
         arrivals = {name: [] for name in self.records.started}
@@ -164,6 +190,8 @@
                 warmth = COLD_FROM + (1 - COLD_FROM) * age / WARM_WITHIN_S
                 budget = slow_start_budget(FALL_MULTIPLE * capacity * warmth * FALL_S)
                 if last - first > budget:
-                    self.findings.append(f"R8 {server} got {last - first} requests in {FALL_S:.0f} s at an age of "
-                                         f"{age:.2f} s, {budget:.0f} at most")
+                    self.findings.append(
+                        f"R8 {server} got {last - first} requests in {FALL_S:.0f} s at an age of "
+                        f"{age:.2f} s, {budget:.0f} at most"
+                    )
                     break
--- a/tests/soak/records.py
+++ b/tests/soak/records.py
@@ -6,6 +6,7 @@
 @dataclass
 class Attempt:
     """A request as it arrived whole at a guide server."""
+
     server: str
     sidecar: int
     first_byte_at: float
@@ -19,6 +20,7 @@
 @dataclass
 class Request:
     """A client's request; None where something did not happen."""
+
     id: str
     sidecar: int
     kind: str
@@ -41,6 +43,7 @@
 @dataclass
 class HalfRequest:
     """A client that stops in the middle of a request and stays."""
+
     sidecar: int
     stopped_at: float
     ended_at: float = None
@@ -59,17 +62,17 @@
     def __init__(self):
         self.requests = {}
         self.half_requests = []
-        self.notices = {}      # (sidecar, server): when the list that closes it was written
-        self.closed = {}       # server: when it began to drain or went
-        self.outages = {}      # sidecar: spans in which its discovery could not be reached
-        self.silences = {}     # sidecar: when a watch of its fell silent
-        self.down = {}         # sidecar: spans without a serving process (killed, ending or standing still)
-        self.crowds = {}       # sidecar: spans in which idle clients fill its descriptors
-        self.started = {}      # server: when it started, and how many requests a second it does once warm
-        self.held_up = set()   # sidecars whose shim held them up before a send
-        self.problems = []     # what the harness itself saw: crashes, late ends, counters
-        self.events = []       # troubles, for the report
-        self.lags = []         # (time, seconds) by which this harness ran late
+        self.notices = {}  # (sidecar, server): when the list that closes it was written
+        self.closed = {}  # server: when it began to drain or went
+        self.outages = {}  # sidecar: spans in which its discovery could not be reached
+        self.silences = {}  # sidecar: when a watch of its fell silent
+        self.down = {}  # sidecar: spans without a serving process (killed, ending or standing still)
+        self.crowds = {}  # sidecar: spans in which idle clients fill its descriptors
+        self.started = {}  # server: when it started, and how many requests a second it does once warm
+        self.held_up = set()  # sidecars whose shim held them up before a send
+        self.problems = []  # what the harness itself saw: crashes, late ends, counters
+        self.events = []  # troubles, for the report
+        self.lags = []  # (time, seconds) by which this harness ran late
 
     def say(self, text):
         self.events.append((time.monotonic(), text))
--- a/tests/soak/shim.py
+++ b/tests/soak/shim.py
@@ -2,8 +2,20 @@
 import mmap
 import struct
 
-FAULTS = ("short_write", "short_read", "interrupted", "accept_aborted", "accept_no_file", "socket_no_buffers",
-          "connect_local", "disk_full", "sync_fails", "stall_before_send", "broken_connection", "wait_interrupted")
+FAULTS = (
+    "short_write",
+    "short_read",
+    "interrupted",
+    "accept_aborted",
+    "accept_no_file",
+    "socket_no_buffers",
+    "connect_local",
+    "disk_full",
+    "sync_fails",
+    "stall_before_send",
+    "broken_connection",
+    "wait_interrupted",
+)
 _WALL_OFFSET_MS, _STALL_MS, _INJECTED, _SLOTS, _DOUBLE = 16, 17, 32, 64, 8
 LONGEST_STALL_MS = 150
 
@@ -28,6 +40,8 @@
 
     def injected(self):
         """How often each fault was injected, over all lives of the process."""
-        counts = {name: int(struct.unpack_from("d", self._map, (_INJECTED + i) * _DOUBLE)[0])
-                  for i, name in enumerate(FAULTS)}
+        counts = {
+            name: int(struct.unpack_from("d", self._map, (_INJECTED + i) * _DOUBLE)[0])
+            for i, name in enumerate(FAULTS)
+        }
         return {name: count for name, count in counts.items() if count}
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -20,11 +20,11 @@
 
 from clients import Clients
 from discovery import Discovery
-from guide_servers import GuideServer
+from fake_upstreams import GuideServer
 from oracle import Oracle
 from records import Records
 from sidecars import Sidecar
-from troubles import Troubles
+from faults import Troubles
 
 RATE_PER_SIDECAR = 8.0
 SERVERS_PER_SIDECAR = 0.6
@@ -51,7 +51,10 @@
         server = GuideServer(f"s-{self._server_number:03d}", self.records, self.random)
         await server.start()
         self.servers[server.name] = server
-        self.records.started[server.name] = (server.started_at, CAPACITY_OF_LOAD * RATE_PER_SIDECAR / SERVERS_PER_SIDECAR)
+        self.records.started[server.name] = (
+            server.started_at,
+            CAPACITY_OF_LOAD * RATE_PER_SIDECAR / SERVERS_PER_SIDECAR,
+        )
         return server
 
     def write_config(self, sidecar):
@@ -80,21 +83,40 @@
         await self.discovery.publish([server.entry("SERVING") for server in started])
         pushed = self.seed % 2 == 0
         for i in range(count):
-            self.sidecars.append(Sidecar(i, self.options.program, self.options.shim,
-                                         os.path.join(self.folder, f"n{i}"), self.records, self.random, pushed))
+            self.sidecars.append(
+                Sidecar(
+                    i,
+                    self.options.program,
+                    self.options.shim,
+                    os.path.join(self.folder, f"n{i}"),
+                    self.records,
+                    self.random,
+                    pushed,
+                )
+            )
         for sidecar in self.sidecars:
             self.write_config(sidecar)
         await asyncio.gather(*(sidecar.start() for sidecar in self.sidecars))
         lag = asyncio.create_task(self._watch_lag())
         until = time.monotonic() + self.options.seconds
         for sidecar in self.sidecars:
-            self.clients[sidecar.number] = Clients(sidecar.number, sidecar.address, sidecar.listen, self.records,
-                                                   self._random_of(f"clients {sidecar.number}"), RATE_PER_SIDECAR)
+            self.clients[sidecar.number] = Clients(
+                sidecar.number,
+                sidecar.address,
+                sidecar.listen,
+                self.records,
+                self._random_of(f"clients {sidecar.number}"),
+                RATE_PER_SIDECAR,
+            )
         troubles = Troubles(self, self._random_of("troubles"))
-        await asyncio.gather(*(clients.run(until) for clients in self.clients.values()),
-                             troubles.play(self.options.only, self.options.every, until - 2))
+        await asyncio.gather(
+            *(clients.run(until) for clients in self.clients.values()),
+            troubles.play(self.options.only, self.options.every, until - 2),
+        )
         for sidecar in self.sidecars:
-            self.records.problems += [f"guard: sidecar {sidecar.number}: {v}" for v in await sidecar.violations()]
+            self.records.problems += [
+                f"guard: sidecar {sidecar.number}: {v}" for v in await sidecar.violations()
+            ]
         await asyncio.gather(*(sidecar.terminate() for sidecar in self.sidecars))
         lag.cancel()
         self.records.held_up = {s.number for s in self.sidecars if "stall_before_send" in s.shim.injected()}
@@ -130,9 +152,11 @@
     findings = Oracle(run.records).judge()
     statuses = collections.Counter(r.status for r in run.records.requests.values())
     lag = max((late for _, late in run.records.lags), default=0)
-    print(f"seed {seed}: {len(run.records.requests)} requests, statuses {dict(statuses)}, "
-          f"{sum('over' not in text for _, text in run.records.events)} troubles, {len(findings)} findings, "
-          f"harness late by {lag * 1000:.0f} ms at most, injected {run.injected()}")
+    print(
+        f"seed {seed}: {len(run.records.requests)} requests, statuses {dict(statuses)}, "
+        f"{sum('over' not in text for _, text in run.records.events)} troubles, {len(findings)} findings, "
+        f"harness late by {lag * 1000:.0f} ms at most, injected {run.injected()}"
+    )
     for rule, count in sorted(collections.Counter(f.split()[0] for f in findings).items()):
         print(f"  {rule}: {count}")
     for finding in findings[:SHOWN_FINDINGS]:
@@ -148,18 +172,24 @@
 
 
 def main():
-    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
     parser.add_argument("--program", required=True)
     parser.add_argument("--shim", required=True)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seeds", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=20)
     parser.add_argument("--sidecars", type=int, default=16)
-    parser.add_argument("--every", type=float, default=0.7, help="seconds from one trouble to the next, in the mean")
+    parser.add_argument(
+        "--every", type=float, default=0.7, help="seconds from one trouble to the next, in the mean"
+    )
     parser.add_argument("--only", type=lambda text: text.split(","), default=[])
     parser.add_argument("--keep", help="folder for logs and traces")
     options = parser.parse_args()
-    logging.getLogger("asyncio").setLevel(logging.ERROR)  # writes to connections that a trouble has just reset
+    logging.getLogger("asyncio").setLevel(
+        logging.ERROR
+    )  # writes to connections that a trouble has just reset
     options.program, options.shim = os.path.abspath(options.program), os.path.abspath(options.shim)
     good = [play_seed(options, seed) for seed in range(options.seed, options.seed + options.seeds)]
     print(f"{sum(good)} of {len(good)} seeds without a finding")
