--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,215 +1,302 @@
-"""The application beside one sidecar: well-behaved requests, early leavers, half requests, bursts on kept connections."""
+"""The application beside one sidecar: requests, clients that leave early, half requests and crowds."""
+
 import asyncio
 import time
+from dataclasses import dataclass
 
-import http1
 from records import HalfRequest, Request
+from support import http1
+
+METHODS = {"read": "GET", "pay": "POST", "note": "POST"}  # of each class
+TIMES_LEFT_S = (0.004, 0.02, 0.3, 0.6, 0.9, 1.2, 1.5)
+PIPELINED_TIMES_LEFT_S = (0.6, 1.2)
+BODY_BYTES = (0, 20, 3000, 40000)
+CONNECT_TIMEOUT_S = 2.0
+PATIENCE_AFTER_DEADLINE_S = 2.0  # so that a late response is seen and judged
+STREAM_LIMIT_BYTES = 1 << 20
+FINISH_TIMEOUT_S = 8  # for the requests that are still open at the end
+IDLE_CROWD = 170  # idle connections: more than a sidecar accepts
+
+# The fate of each turn of a client is drawn from these shares.
+HALF_REQUEST_SHARE, PIPELINE_SHARE, LEAVE_SHARE, SLOW_SHARE = 0.03, 0.02, 0.10, 0.03
+MAX_SLOW_WRITE_S = 1.0
 
-KINDS = {"read": "GET", "pay": "POST", "note": "POST"}
-CONNECT_S = 2.0
-AFTER_DEADLINE_S = 0.5  # an answer this late still counts as one
-HALF_REQUEST_WAIT_S = 4.0
-# Half a request behind whole ones has its end soon after the last answer, if that came later than its own time.
-HALF_BEHIND_S = 2.5
 HALF_REQUEST = (
     b"POST /pay?sid=7f HTTP/1.1\r\nHost: api\r\nX-Correlation-Id: h1\r\nContent-Length: 50\r\n\r\nhalf"
 )
-IDLE_CROWD = 170  # connections that say nothing: more than a sidecar takes
+HALF_REQUEST_WAIT_S = 4.0
+# Half a request behind whole ones ends soon after the last response, if that came later than its own time.
+HALF_REQUEST_BEHIND_S = 2.5
+
+
+@dataclass(frozen=True)
+class Connection:
+    """A client's connection to its sidecar."""
+
+    reader: asyncio.StreamReader
+    writer: asyncio.StreamWriter
+
+    async def send(self, data):
+        """Writes all bytes. Raises OSError."""
+        self.writer.write(data)
+        await self.writer.drain()
+
+    async def read_response(self, timeout_s):
+        """The response, or None where the connection has ended. Raises like http1.read_message, and
+        asyncio.TimeoutError."""
+        reading = http1.read_message(self.reader, length_required=True)
+        return await asyncio.wait_for(reading, timeout_s)
+
+    def close(self):
+        """FIN."""
+        self.writer.close()
+
+    def abort(self):
+        """RST."""
+        http1.abort(self.writer)
+
+
+@dataclass(frozen=True)
+class Behaviour:
+    """What is unusual about one request's client."""
+
+    leaves: bool = False  # at a random moment before the deadline
+    slow: bool = False  # pauses in the middle of the request
 
 
 class Clients:
-    def __init__(self, number, address, port, records, random, rate):
-        self.number, self.address, self.port = number, address, port
+    """All clients of one sidecar. `rate` is in requests per second."""
+
+    def __init__(self, number, endpoint, records, random, rate):
+        self.number, self.endpoint = number, endpoint
         self.records, self.random, self.rate = records, random, rate
-        self.resting = []
         self.accepting = True  # new connections may be opened
-        self.serial = 0
-        self.tasks = set()
-
-    def _spawn(self, coroutine):
-        task = asyncio.get_running_loop().create_task(coroutine)
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+        self._idle = []  # connections without an open request
+        self._serial = 0
+        self._tasks = set()
 
     async def run(self, until):
+        """Sends requests at random moments until `until` (monotonic), then waits for the open ones."""
         while time.monotonic() < until:
             await asyncio.sleep(self.random.expovariate(self.rate))
-            fate = self.random.random()
-            if fate < 0.03 and self.accepting:
-                self._spawn(self._stop_half_way())
-            elif fate < 0.05 and self.accepting:
-                self._spawn(self._send_ahead())
-            else:
-                self._spawn(self._ask(leaves=fate < 0.15, slow=0.15 <= fate < 0.18))
-        if self.tasks:
-            await asyncio.wait(list(self.tasks), timeout=8)
+            self._spawn(self._draw_turn(self.random.random()))
+        if self._tasks:
+            await asyncio.wait(list(self._tasks), timeout=FINISH_TIMEOUT_S)
+
+    def _draw_turn(self, fate):
+        """The coroutine of one turn; `fate` is between 0 and 1."""
+        pipeline_below = HALF_REQUEST_SHARE + PIPELINE_SHARE
+        leave_below = pipeline_below + LEAVE_SHARE
+        if fate < HALF_REQUEST_SHARE and self.accepting:
+            return self._send_half_request()
+        if fate < pipeline_below and self.accepting:
+            return self._pipeline()
+        slow = leave_below <= fate < leave_below + SLOW_SHARE
+        return self._ask(Behaviour(leaves=fate < leave_below, slow=slow))
+
+    def _spawn(self, coroutine):
+        task = asyncio.get_running_loop().create_task(coroutine)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
     async def crowd(self, seconds):
-        """Fills the sidecar's descriptors with connections that say nothing."""
-        idle = await asyncio.gather(*(self._connect() for _ in range(IDLE_CROWD)), return_exceptions=True)
+        """Uses up the sidecar's descriptors with idle connections."""
+        crowd = await asyncio.gather(*(self._connect() for _ in range(IDLE_CROWD)), return_exceptions=True)
         await asyncio.sleep(seconds)
-        for connection in idle:
+        for connection in crowd:
             if not isinstance(connection, BaseException):
-                http1.abort(connection[1])
+                connection.abort()
 
     def drop_connections(self):
-        for _, writer in self.resting:
-            http1.abort(writer)
-        self.resting.clear()
+        """Resets all idle connections."""
+        for connection in self._idle:
+            connection.abort()
+        self._idle.clear()
+
+    async def _connect(self):
+        connecting = asyncio.open_connection(
+            self.endpoint.address, self.endpoint.port, limit=STREAM_LIMIT_BYTES
+        )
+        return Connection(*await asyncio.wait_for(connecting, CONNECT_TIMEOUT_S))
+
+    async def _try_connect(self):
+        try:
+            return await self._connect()
+        except (OSError, asyncio.TimeoutError):
+            return None
 
-    def _text(self, request):
-        method = KINDS[request.kind]
+    def _new_id(self):
+        self._serial += 1
+        return f"{self.number:03d}-{self._serial:06d}-{self.random.getrandbits(32):08x}"
+
+    def _new_kind(self):
+        return self.random.choice(list(METHODS))
+
+    def _encode(self, request):
+        method = METHODS[request.kind]
         lines = [
             f"{method} /{request.kind}?sid=7f HTTP/1.1",
             "Host: api",
             f"X-Correlation-Id: {request.id}",
             f"X-Service-Class: {request.kind}",
-            f"X-Time-Left: {int(request.time_left * 1000)}m",
+            f"X-Time-Left: {int(request.time_left_s * 1000)}m",
         ]
         if request.kind == "note":
-            lines.append(f"Idempotency-Key: {request.key}")
+            lines.append(f"Idempotency-Key: {request.id}")
         body = b""
         if method == "POST":
-            body = b"x" * self.random.choice((0, 20, 3000, 40000))
+            body = b"x" * self.random.choice(BODY_BYTES)
             lines.append(f"Content-Length: {len(body)}")
         return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
 
-    async def _connect(self):
-        return await asyncio.wait_for(
-            asyncio.open_connection(self.address, self.port, limit=1 << 20), CONNECT_S
-        )
+    @staticmethod
+    def _patience_s(request):
+        """How long its client still waits for a response."""
+        return request.deadline + PATIENCE_AFTER_DEADLINE_S - time.monotonic()
 
-    def _new_name(self):
-        self.serial += 1
-        return f"{self.number:03d}-{self.serial:06d}-{self.random.getrandbits(32):08x}"
-
-    async def _ask(self, leaves, slow):
-        kind = self.random.choice(list(KINDS))
-        name = self._new_name()
-        time_left = self.random.choice((0.004, 0.02, 0.3, 0.6, 0.9, 1.2, 1.5))
-        for attempt in range(2):
-            reuse = attempt == 0 and bool(self.resting)
-            if not reuse and not self.accepting:
+    async def _ask(self, behaviour):
+        """One request, on an idle connection where there is one."""
+        kind, request_id = self._new_kind(), self._new_id()
+        time_left_s = self.random.choice(TIMES_LEFT_S)
+        if self._idle:
+            request = Request(request_id, self.number, kind, 0, time_left_s, False)
+            if await self._exchange(request, self._idle.pop(), behaviour):
                 return
-            try:
-                reader, writer = self.resting.pop() if reuse else await self._connect()
-            except (OSError, asyncio.TimeoutError):
-                return
-            request = Request(name, self.number, kind, name, 0, time_left, not reuse)
-            if await self._exchange(request, reader, writer, leaves, slow):
-                return
-            name += "r"  # the resting connection ended under it: once more on a new one
+            request_id += "r"  # the sidecar had closed the idle connection: once more on a new one
+        if not self.accepting:
+            return
+        connection = await self._try_connect()
+        if connection:
+            request = Request(request_id, self.number, kind, 0, time_left_s, True)
+            await self._exchange(request, connection, behaviour)
 
-    async def _exchange(self, request, reader, writer, leaves, slow):
-        """False: the connection that rested was closed by the sidecar, with no answer."""
-        text = self._text(request)
+    async def _exchange(self, request, connection, behaviour):
+        """False where the sidecar has closed an idle connection without a response."""
+        data = self._encode(request)
         try:
-            if slow:
-                half = len(text) // 2
-                writer.write(text[:half])
-                await asyncio.sleep(self.random.uniform(0.05, 1.0))
-                text = text[half:]
+            if behaviour.slow:
+                half = len(data) // 2
+                connection.writer.write(data[:half])
+                await asyncio.sleep(self.random.uniform(0.05, MAX_SLOW_WRITE_S))
+                data = data[half:]
             request.sent_at = time.monotonic()
             self.records.requests[request.id] = request
-            writer.write(text)
-            await writer.drain()
-            patience = request.deadline + AFTER_DEADLINE_S + 1.5 - time.monotonic()
-            if leaves:
-                patience = self.random.uniform(0, request.time_left)
-            message = await asyncio.wait_for(http1.read_message(reader, response=True), patience)
+            await connection.send(data)
+            patience_s = self._patience_s(request)
+            if behaviour.leaves:
+                patience_s = self.random.uniform(0, request.time_left_s)
+            message = await connection.read_response(patience_s)
         except asyncio.TimeoutError:
-            if leaves:
-                request.left_at = time.monotonic()
-            http1.abort(writer) if self.random.random() < 0.5 else writer.close()
+            self._leave(request, connection, behaviour)
             return True
         except (OSError, asyncio.IncompleteReadError, ValueError):
             message = None
         if message is None:
-            request.closed_at = time.monotonic()
-            writer.close()
-            if request.new_connection:
-                return True
-            self.records.requests.pop(request.id, None) if not request.attempts else None
-            return False
-        request.answered_at, request.status, request.body = message.last_byte_at, message.status, message.body
-        if message.headers.get("connection", "").lower() == "close":
-            writer.close()
+            return self._ended_without_response(request, connection)
+        request.answer(message)
+        if message.ends_connection:
+            connection.close()
         else:
-            self.resting.append((reader, writer))
+            self._idle.append(connection)
         return True
 
-    async def _send_ahead(self):
+    def _leave(self, request, connection, behaviour):
+        if behaviour.leaves:
+            request.left_at = time.monotonic()
+        if self.random.random() < 0.5:
+            connection.abort()
+        else:
+            connection.close()
+
+    def _ended_without_response(self, request, connection):
+        """Whether this is the request's end: not on an idle connection, where it is sent once more."""
+        request.closed_at = time.monotonic()
+        connection.close()
+        if request.new_connection:
+            return True
+        self._forget_unread(request)
+        return False
+
+    def _forget_unread(self, request):
+        """A request that no server got was not read by the sidecar; its client sends it anew."""
+        if not request.attempts:
+            self.records.requests.pop(request.id, None)
+
+    async def _pipeline(self):
         """Several requests at once on a new connection, often with half of another behind them."""
-        try:
-            reader, writer = await self._connect()
-        except (OSError, asyncio.TimeoutError):
+        connection = await self._try_connect()
+        if connection is None:
             return
-        requests = []
-        for _ in range(self.random.randrange(2, 6)):
-            name, kind = self._new_name(), self.random.choice(list(KINDS))
-            requests.append(
-                Request(name, self.number, kind, name, 0, self.random.choice((0.6, 1.2)), not requests)
-            )
-        text = b"".join(self._text(request) for request in requests)
-        half = (
-            HALF_REQUEST[: self.random.randrange(1, len(HALF_REQUEST))] if self.random.random() < 0.5 else b""
-        )
+        requests = self._new_pipeline()
+        data = b"".join(self._encode(request) for request in requests)
+        half = self._new_half_request() if self.random.random() < 0.5 else b""
         sent_at = time.monotonic()
         for request in requests:
             request.sent_at = sent_at
             self.records.requests[request.id] = request
         try:
-            writer.write(text + half)
-            await writer.drain()
-            for request in requests:
-                patience = request.deadline + AFTER_DEADLINE_S + 1.5 - time.monotonic()
-                message = await asyncio.wait_for(http1.read_message(reader, response=True), patience)
-                if message is None:
-                    raise ConnectionResetError
-                request.answered_at, request.status, request.body = (
-                    message.last_byte_at,
-                    message.status,
-                    message.body,
-                )
-                if message.headers.get("connection", "").lower() == "close":
-                    raise ConnectionResetError
+            await connection.send(data + half)
+            await self._read_responses(connection, requests)
         except asyncio.TimeoutError:
-            http1.abort(writer)
+            connection.abort()
             return
         except (OSError, asyncio.IncompleteReadError, ValueError):
-            for request in requests:
-                if request.answered_at is None:
-                    request.closed_at = time.monotonic()
-                    if not request.new_connection and not request.attempts:
-                        self.records.requests.pop(request.id, None)  # unread: its client asks anew
-            writer.close()
+            self._pipeline_ended(requests)
+            connection.close()
             return
         if half:
-            await self._await_end(
-                HalfRequest(self.number, max(sent_at, time.monotonic() - HALF_BEHIND_S)), reader
-            )
-        writer.close()
+            stopped_at = max(sent_at, time.monotonic() - HALF_REQUEST_BEHIND_S)
+            await self._await_end(HalfRequest(self.number, stopped_at), connection)
+        connection.close()
 
-    async def _stop_half_way(self):
-        try:
-            reader, writer = await self._connect()
-        except (OSError, asyncio.TimeoutError):
+    def _new_pipeline(self):
+        requests = []
+        for _ in range(self.random.randrange(2, 6)):
+            request_id, kind = self._new_id(), self._new_kind()
+            time_left_s = self.random.choice(PIPELINED_TIMES_LEFT_S)
+            is_first = not requests
+            requests.append(Request(request_id, self.number, kind, 0, time_left_s, is_first))
+        return requests
+
+    def _new_half_request(self):
+        return HALF_REQUEST[: self.random.randrange(1, len(HALF_REQUEST))]
+
+    async def _read_responses(self, connection, requests):
+        """Raises ConnectionResetError where the connection ends after one of them."""
+        for request in requests:
+            message = await connection.read_response(self._patience_s(request))
+            if message is None:
+                raise ConnectionResetError
+            request.answer(message)
+            if message.ends_connection:
+                raise ConnectionResetError
+
+    def _pipeline_ended(self, requests):
+        for request in requests:
+            if request.answered_at is None:
+                request.closed_at = time.monotonic()
+                if not request.new_connection:
+                    self._forget_unread(request)
+
+    async def _send_half_request(self):
+        """Stops in the middle of a request and stays."""
+        connection = await self._try_connect()
+        if connection is None:
             return
         half = HalfRequest(self.number, time.monotonic())
         try:
-            writer.write(HALF_REQUEST[: self.random.randrange(1, len(HALF_REQUEST))])
-            await writer.drain()
+            await connection.send(self._new_half_request())
         except OSError:
             pass
-        await self._await_end(half, reader)
-        writer.close()
+        await self._await_end(half, connection)
+        connection.close()
 
-    async def _await_end(self, half, reader):
-        """The error or the close that a client is owed that stops in the middle of a request and stays."""
+    async def _await_end(self, half, connection):
+        """Records when the sidecar ends a half request, by an error response or a close."""
         self.records.half_requests.append(half)
         try:
-            if await asyncio.wait_for(reader.read(1), HALF_REQUEST_WAIT_S) is not None:
-                half.ended_at = time.monotonic()
+            await asyncio.wait_for(connection.reader.read(1), HALF_REQUEST_WAIT_S)
+            half.ended_at = time.monotonic()
         except asyncio.TimeoutError:
             pass
         except OSError:
--- a/tests/soak/fake_upstreams.py
+++ b/tests/soak/fake_upstreams.py
@@ -1,49 +1,62 @@
-"""Stand-ins for guide servers, and a fault proxy in front of each: what sidecars dial is the proxy."""
+"""Fake upstream servers that answer well or badly, each behind a fault proxy: sidecars dial the proxy."""
+
 import asyncio
-import socket
 import time
 
-import http1
+from fault_proxy import FaultProxy
 from records import Attempt
+from support import http1
 
 IDLE_CLOSE_S = 3.0
-# Where the proxy splits: bytes of a piece, and pieces of a read, since each costs a turn of this harness's loop.
-LEAST_PIECE, MOST_PIECES = 7, 32
-PROXY_BACKLOG = 16  # connections that a proxy's kernel holds until they are accepted
-
+EARLY_IDLE_CLOSE_S = 0.3  # in mode close_idle
+MEAN_WORK_S = 0.012
+HANG_S = 5
+RESET_AFTER_S = 0.005  # from a response's bytes to the reset, so that the bytes arrive
+TRUNCATED_BYTES = 5
+ENDLESS_LENGTH = 3_000_000_000
+ENDLESS_PIECES, ENDLESS_PIECE_BYTES, ENDLESS_PIECE_EVERY_S = 40, 4096, 0.01
+MAX_SECOND_ANSWER_DELAY_S = 0.008
 
-class GuideServer:
-    """Answers by its mode; each connection and each request draws its fate from the run's random source."""
 
-    MODES = (
-        "ok",
-        "error",
-        "away",
-        "hang",
-        "reset",
-        "cut",
-        "no_length",
-        "no_length_reset",
-        "twice",
-        "endless",
-        "close_idle",
-    )
+class FakeUpstream:
+    """Answers by its mode; each request draws from the run's random source whether the mode applies to it."""
 
     def __init__(self, name, records, random):
         self.name, self.records, self.random = name, records, random
-        self.mode, self.share = "ok", 0.0
+        self.mode, self.mode_share = "ok", 0.0
         self.born, self.started_at = time.time(), time.monotonic()
         self.proxy = FaultProxy(self, random)
+        self.port = 0
         self._server = None
         self._writers = set()
+        # Each answers a request and returns whether the connection goes on.
+        self._answers = {
+            "ok": self._answer_well,
+            "error": self._answer_error,
+            "away": self._answer_away,
+            "hang": self._answer_never,
+            "reset": self._reset,
+            "cut": self._answer_truncated,
+            "no_length": self._answer_without_length,
+            "no_length_reset": self._answer_without_length_and_reset,
+            "twice": self._answer_twice,
+            "endless": self._answer_endless,
+            "close_idle": self._answer_well,
+        }
+
+    @property
+    def failure_modes(self):
+        """Every mode but the one that serves well."""
+        return [mode for mode in self._answers if mode != "ok"]
 
     async def start(self):
-        self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0, limit=http1.MOST_HEAD)
+        """Listens on a free port, and so does the proxy."""
+        self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0, limit=http1.MAX_HEAD_BYTES)
         self.port = self._server.sockets[0].getsockname()[1]
         await self.proxy.start()
 
     def stop(self):
-        """As a process that dies: its connections are reset."""
+        """Like a process that dies: its connections are reset."""
         self._server.close()
         self.proxy.close()
         for writer in list(self._writers):
@@ -51,6 +64,7 @@
         self.proxy.reset_all()
 
     def entry(self, health):
+        """Its entry in discovery's list."""
         return {
             "host": self.name,
             "dial": f"127.0.0.1:{self.proxy.port}",
@@ -63,14 +77,15 @@
         }
 
     def set_mode(self, mode, share):
-        self.mode, self.share = mode, share
+        """From now on a share of the requests is answered by this mode, the others well."""
+        self.mode, self.mode_share = mode, share
 
     async def _serve(self, reader, writer):
         self._writers.add(writer)
         try:
             while True:
-                idle = 0.3 if self.mode == "close_idle" else IDLE_CLOSE_S
-                message = await asyncio.wait_for(http1.read_message(reader), idle)
+                idle_s = EARLY_IDLE_CLOSE_S if self.mode == "close_idle" else IDLE_CLOSE_S
+                message = await asyncio.wait_for(http1.read_message(reader), idle_s)
                 if message is None or not await self._answer(message, writer):
                     break
         except (
@@ -90,13 +105,13 @@
         request = self.records.requests.get(message.headers.get("x-correlation-id", ""))
         if request is None:
             return None
-        told = message.headers.get("x-time-left", "0u")
+        time_left = message.headers.get("x-time-left", "0u")
         attempt = Attempt(
             self.name,
             request.sidecar,
             message.first_byte_at,
             message.last_byte_at,
-            float(told[:-1]) / (1000 if told[-1] == "u" else 1),
+            float(time_left[:-1]) / (1000 if time_left[-1] == "u" else 1),
         )
         request.attempts.append(attempt)
         return attempt
@@ -110,153 +125,82 @@
         if attempt is None:
             writer.write(http1.response(400))
             return True
-        mode = self.mode if self.random.random() < self.share else "ok"
+        mode = self.mode if self.random.random() < self.mode_share else "ok"
         body = f"{message.headers['x-correlation-id']} {self.name}".encode()
-        if mode == "away":
-            attempt.may_have_run = False
-            writer.write(http1.response(503, headers="X-Unprocessed: 1\r\n"))
-            return True
-        if mode == "error":
-            writer.write(http1.response(500))
-            return True
-        if mode == "hang":
-            await asyncio.sleep(5)
-            return False
-        await asyncio.sleep(self.random.expovariate(1 / 0.012))
-        if mode == "reset":
-            http1.abort(writer)
-            return False
-        if mode == "cut":
-            writer.write(http1.response(200, body)[:-5])
-            await writer.drain()
-            return False
-        if mode in ("no_length", "no_length_reset"):
-            cut = mode == "no_length_reset"
-            writer.write(b"HTTP/1.1 200 Said\r\nConnection: close\r\n\r\n" + (body[:-5] if cut else body))
-            await writer.drain()
-            if cut:
-                await asyncio.sleep(0.005)
-                http1.abort(writer)
-            attempt.body, attempt.no_length = body, not cut
-            return False
-        if mode == "endless":
-            writer.write(b"HTTP/1.1 200 Said\r\nContent-Length: 3000000000\r\n\r\n")
-            for _ in range(40):
-                if writer.is_closing():
-                    break
-                writer.write(b"x" * 4096)
-                await writer.drain()
-                await asyncio.sleep(0.01)
-            return False
+        return await self._answers[mode](attempt, body, writer)
+
+    async def _work(self):
+        await asyncio.sleep(self.random.expovariate(1 / MEAN_WORK_S))
+
+    async def _answer_well(self, attempt, body, writer):
+        await self._work()
         attempt.body = body
         writer.write(http1.response(200, body))
-        if mode == "twice":
-            await asyncio.sleep(self.random.uniform(0, 0.008))
-            if writer.is_closing():
-                return False
-            writer.write(http1.response(200, b"a second answer"))
         await writer.drain()
         return True
 
+    async def _answer_error(self, _attempt, _body, writer):
+        writer.write(http1.response(500))
+        return True
 
-class FaultProxy:
-    """Carries bytes between sidecars and one server; never later than they came, or not at all."""
-
-    def __init__(self, target, random):
-        self.target, self.random = target, random
-        self.split = False  # into small pieces
-        self.reset_share = 0.0  # of connections are reset after some bytes
-        self.silent = False  # what is open carries nothing; it is reset once that is over
-        self._connections = set()
-        self._accepting, self._fillers = asyncio.Event(), []
-        self._accepting.set()
-
-    async def start(self):
-        self._listening = socket.socket()
-        self._listening.setblocking(False)
-        self._listening.bind(("127.0.0.1", 0))
-        self._listening.listen(PROXY_BACKLOG)
-        self.port = self._listening.getsockname()[1]
-        self._accept_task = asyncio.create_task(self._accept())
-
-    def close(self):
-        self._accept_task.cancel()
-        for one in (self._listening, *self._fillers):
-            one.close()
+    async def _answer_away(self, attempt, _body, writer):
+        """Says that the request did not run."""
+        attempt.may_have_run = False
+        writer.write(http1.response(503, headers="X-Unprocessed: 1\r\n"))
+        return True
 
-    async def _accept(self):
-        loop, serving = asyncio.get_running_loop(), set()
-        while True:
-            await self._accepting.wait()
-            connection, _ = await loop.sock_accept(self._listening)
-            if not self._accepting.is_set():
-                self._take_place()  # that this last one has left: what waits there would count as connected
-            reader = asyncio.StreamReader()
-            protocol = asyncio.StreamReaderProtocol(reader)
-            transport, _ = await loop.connect_accepted_socket(lambda: protocol, connection)
-            task = asyncio.create_task(
-                self._serve(reader, asyncio.StreamWriter(transport, protocol, reader, loop))
-            )
-            serving.add(task)
-            task.add_done_callback(serving.discard)
+    async def _answer_never(self, _attempt, _body, _writer):
+        await asyncio.sleep(HANG_S)
+        return False
 
-    def reset_all(self):
-        for writers in list(self._connections):
-            for writer in writers:
-                http1.abort(writer)
+    async def _reset(self, _attempt, _body, writer):
+        await self._work()
+        http1.abort(writer)
+        return False
 
-    def _take_place(self):
-        filler = socket.socket()
-        filler.setblocking(False)
-        filler.connect_ex(self._listening.getsockname())
-        self._fillers.append(filler)
+    async def _answer_truncated(self, _attempt, body, writer):
+        await self._work()
+        writer.write(http1.response(200, body)[:-TRUNCATED_BYTES])
+        await writer.drain()
+        return False
 
-    def set_accepting(self, accepting):
-        """While it does not accept, its queue is full: new connections come up late or never."""
-        if not accepting and self._accepting.is_set():
-            self._accepting.clear()
-            for _ in range(PROXY_BACKLOG + 2):
-                self._take_place()
-        elif accepting and not self._accepting.is_set():
-            for filler in self._fillers:
-                filler.close()
-            self._fillers.clear()
-            self._accepting.set()
+    async def _answer_without_length(self, attempt, body, writer):
+        """Whole where the connection ends."""
+        await self._work()
+        writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body)
+        await writer.drain()
+        attempt.body, attempt.no_length = body, True
+        return False
 
-    def set_silent(self, silent):
-        self.silent = silent
-        if not silent:
-            self.reset_all()
+    async def _answer_without_length_and_reset(self, attempt, body, writer):
+        """Truncated, which only the reset shows."""
+        await self._work()
+        writer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body[:-TRUNCATED_BYTES])
+        await writer.drain()
+        await asyncio.sleep(RESET_AFTER_S)
+        http1.abort(writer)
+        attempt.body = body
+        return False
 
-    async def _serve(self, reader, writer):
-        try:
-            out_reader, out_writer = await asyncio.open_connection("127.0.0.1", self.target.port)
-        except OSError:
-            return http1.abort(writer)
-        pair = (writer, out_writer)
-        self._connections.add(pair)
-        budget = [self.random.randrange(1, 2000) if self.random.random() < self.reset_share else 1 << 60]
-        await asyncio.gather(
-            self._carry(reader, out_writer, pair, budget), self._carry(out_reader, writer, pair, budget)
-        )
-        self._connections.discard(pair)
+    async def _answer_endless(self, _attempt, _body, writer):
+        await self._work()
+        writer.write(f"HTTP/1.1 200 OK\r\nContent-Length: {ENDLESS_LENGTH}\r\n\r\n".encode())
+        for _ in range(ENDLESS_PIECES):
+            if writer.is_closing():
+                break
+            writer.write(b"x" * ENDLESS_PIECE_BYTES)
+            await writer.drain()
+            await asyncio.sleep(ENDLESS_PIECE_EVERY_S)
+        return False
 
-    async def _carry(self, reader, writer, pair, budget):
-        try:
-            while data := await reader.read(65536):
-                if self.silent:
-                    continue
-                budget[0] -= len(data)
-                if budget[0] < 0:
-                    raise ConnectionResetError
-                step = max(LEAST_PIECE, len(data) // MOST_PIECES) if self.split else len(data)
-                for at in range(0, len(data), step):
-                    writer.write(data[at : at + step])
-                    if self.split:
-                        await asyncio.sleep(0)
-                await writer.drain()
-            if not writer.is_closing():
-                writer.close()
-        except OSError:
-            for one in pair:
-                http1.abort(one)
+    async def _answer_twice(self, attempt, body, writer):
+        """A second response that no request asked for."""
+        await self._work()
+        attempt.body = body
+        writer.write(http1.response(200, body))
+        await asyncio.sleep(self.random.uniform(0, MAX_SECOND_ANSWER_DELAY_S))
+        if writer.is_closing():
+            return False
+        writer.write(http1.response(200, b"a second answer"))
+        await writer.drain()
+        return True
