--- a/tests/soak/fault_shim.cpp
+++ b/tests/soak/fault_shim.cpp
@@ -1,6 +1,8 @@
-// Injects faults below the C library into one test process (LD_PRELOAD). What is injected, and how often,
-// stands in a file of doubles that FAULT_SHIM_CONTROL names and that the test changes while the process runs;
-// FAULT_SHIM_SEED makes the draw repeatable for the same sequence of calls. Layout: shim.py.
+// Injects faults into the system calls of one test process (loaded with LD_PRELOAD). Environment:
+// FAULT_SHIM_CONTROL: path of the file that sets which faults are injected and counts them (layout:
+// fault_slots.hpp);
+//                     the test changes it while the process runs. Without it nothing is injected.
+// FAULT_SHIM_SEED:    seed of the random draws, which repeat for the same sequence of calls.
 #include <dlfcn.h>
 #include <errno.h>
 #include <fcntl.h>
@@ -23,30 +25,34 @@
 
 using namespace fault_shim;
 
+// The control file's doubles; without a file, zeros that inject nothing.
 double* control() {
     static double* const slots = [] {
         static double none[kSlots] = {};
         const char* path = std::getenv("FAULT_SHIM_CONTROL");
         const int fd = path ? ::open(path, O_RDWR | O_CLOEXEC) : -1;
         if (fd < 0) return none;
-        void* at = ::mmap(nullptr, sizeof none, PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
+        void* mapped = ::mmap(nullptr, sizeof none, PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
         ::close(fd);
-        return at == MAP_FAILED ? none : static_cast<double*>(at);
+        return mapped == MAP_FAILED ? none : static_cast<double*>(mapped);
     }();
     return slots;
 }
 
+// A random number of [0, 1): SplitMix64 (Steele, Lea and Flood, 2014), from any thread.
 double draw() {
     static std::atomic<std::uint64_t> state{[] {
         const char* seed = std::getenv("FAULT_SHIM_SEED");
         return seed ? std::strtoull(seed, nullptr, 10) : 1ULL;
     }()};
-    std::uint64_t z = state.fetch_add(0x9e3779b97f4a7c15ULL) + 0x9e3779b97f4a7c15ULL;
-    z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
-    z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
-    return static_cast<double>((z ^ (z >> 31)) >> 11) * 0x1.0p-53;
+    constexpr std::uint64_t kIncrement = 0x9e3779b97f4a7c15ULL;
+    std::uint64_t mixed = state.fetch_add(kIncrement) + kIncrement;
+    mixed = (mixed ^ (mixed >> 30)) * 0xbf58476d1ce4e5b9ULL;
+    mixed = (mixed ^ (mixed >> 27)) * 0x94d049bb133111ebULL;
+    return static_cast<double>((mixed ^ (mixed >> 31)) >> 11) * 0x1.0p-53;
 }
 
+// Draws whether this call fails, and counts it if so.
 bool inject(Slot fault) {
     const double probability = control()[fault];
     if (probability <= 0 || draw() >= probability) return false;
@@ -54,23 +60,27 @@
     return true;
 }
 
-bool is_kind(int fd, mode_t kind) {
-    struct stat about {};
-    return ::fstat(fd, &about) == 0 && (about.st_mode & S_IFMT) == kind;
+// Whether a descriptor is of a file type such as S_IFREG.
+bool is_type(int fd, mode_t type) {
+    struct stat status {};
+    return ::fstat(fd, &status) == 0 && (status.st_mode & S_IFMT) == type;
 }
 
+// The C library's function of this name.
 template <class Function>
 Function real(const char* name) {
     return reinterpret_cast<Function>(::dlsym(RTLD_NEXT, name));
 }
 #define REAL(name) static const auto next = real<decltype(&::name)>(#name)
 
+// What a failing call returns.
 int fail(int error) {
     errno = error;
     return -1;
 }
 
-// A connection that the process opened itself: it listens on an address of its own.
+// Whether the process opened this connection itself: accepted ones have an address of its own instead of
+// 127.0.0.1.
 bool is_outgoing(int fd) {
     sockaddr_in own{};
     socklen_t length = sizeof own;
@@ -78,22 +88,23 @@
            own.sin_addr.s_addr == htonl(INADDR_LOOPBACK);
 }
 
-// The network to whoever is asked has failed under the connection.
-bool breaks(int fd) {
+// Draws whether the network fails under a connection that the process opened, and shuts it down if so.
+bool break_connection(int fd) {
     if (control()[kBrokenConnection] <= 0 || !is_outgoing(fd) || !inject(kBrokenConnection)) return false;
     ::shutdown(fd, SHUT_RDWR);
     return true;
 }
-int broken() { return fail(draw() < 0.5 ? ETIMEDOUT : EHOSTUNREACH); }
+int fail_broken() { return fail(draw() < 0.5 ? ETIMEDOUT : EHOSTUNREACH); }
 
+// Sleeps for a random time of at most the setting.
 void stall() {
-    const double longest = control()[kStallMs];
-    const auto nanoseconds = static_cast<long>(draw() * longest * 1e6);
+    const double max_ms = control()[kStallMs];
+    const auto nanoseconds = static_cast<long>(draw() * max_ms * 1e6);
     const timespec wait{nanoseconds / 1000000000L, nanoseconds % 1000000000L};
     ::nanosleep(&wait, nullptr);
 }
 
-// The first byte only, of a message with several parts.
+// The message cut to its first byte, which `part` then refers to.
 msghdr first_byte_of(const msghdr& message, iovec& part) {
     msghdr shorter = message;
     for (std::size_t i = 0; i < message.msg_iovlen; ++i) {
@@ -113,7 +124,7 @@
 ssize_t send(int fd, const void* bytes, size_t size, int flags) {
     REAL(send);
     if (inject(kInterrupted)) return fail(EINTR);
-    if (breaks(fd)) return broken();
+    if (break_connection(fd)) return fail_broken();
     if (inject(kStallBeforeSend)) stall();
     return next(fd, bytes, size > 1 && inject(kShortWrite) ? 1 : size, flags);
 }
@@ -131,20 +142,20 @@
 ssize_t recv(int fd, void* bytes, size_t size, int flags) {
     REAL(recv);
     if (inject(kInterrupted)) return fail(EINTR);
-    if (breaks(fd)) return broken();
+    if (break_connection(fd)) return fail_broken();
     return next(fd, bytes, size > 1 && inject(kShortRead) ? 1 : size, flags);
 }
 
 ssize_t recvmsg(int fd, msghdr* message, int flags) {
     REAL(recvmsg);
     if (inject(kInterrupted)) return fail(EINTR);
-    if (!inject(kShortRead) || !is_kind(fd, S_IFSOCK)) return next(fd, message, flags);
+    if (!inject(kShortRead) || !is_type(fd, S_IFSOCK)) return next(fd, message, flags);
     iovec part{};
     msghdr shorter = first_byte_of(*message, part);
     return next(fd, &shorter, flags);
 }
 
-// As if a connection that its client has given up stood in the queue ahead of the others.
+// ECONNABORTED: as if the first connection in the backlog had been reset by its client.
 int accept(int fd, sockaddr* address, socklen_t* length) {
     REAL(accept);
     if (inject(kAcceptAborted)) return fail(ECONNABORTED);
@@ -153,10 +164,10 @@
     return next(fd, address, length);
 }
 
-int epoll_wait(int fd, epoll_event* events, int most, int timeout) {
+int epoll_wait(int fd, epoll_event* events, int max_events, int timeout) {
     REAL(epoll_wait);
     if (inject(kWaitInterrupted)) return fail(EINTR);
-    return next(fd, events, most, timeout);
+    return next(fd, events, max_events, timeout);
 }
 
 int socket(int domain, int type, int protocol) {
@@ -173,7 +184,7 @@
 
 ssize_t write(int fd, const void* bytes, size_t size) {
     REAL(write);
-    if (fd <= 2 || !is_kind(fd, S_IFREG)) return next(fd, bytes, size);
+    if (fd <= 2 || !is_type(fd, S_IFREG)) return next(fd, bytes, size);
     if (inject(kInterrupted)) return fail(EINTR);
     if (size > 1 && inject(kShortWrite)) return next(fd, bytes, size / 2);
     if (inject(kDiskFull)) return fail(draw() < 0.5 ? ENOSPC : EIO);
@@ -186,21 +197,22 @@
     return next(fd);
 }
 
-int renameat(int from_folder, const char* from, int to_folder, const char* to) {
+int renameat(int old_folder, const char* old_path, int new_folder, const char* new_path) {
     REAL(renameat);
     if (inject(kDiskFull)) return fail(ENOSPC);
-    return next(from_folder, from, to_folder, to);
+    return next(old_folder, old_path, new_folder, new_path);
 }
 
+// Adds the offset to the wall clock only.
 int clock_gettime(clockid_t clock, timespec* time) noexcept {
     REAL(clock_gettime);
     const int result = next(clock, time);
-    const double offset = control()[kWallOffsetMs];
-    if (result != 0 || clock != CLOCK_REALTIME || offset == 0) return result;
-    const double nanoseconds =
-        static_cast<double>(time->tv_nsec) + (offset - 1000 * static_cast<long>(offset / 1000)) * 1e6;
+    const double offset_ms = control()[kWallOffsetMs];
+    if (result != 0 || clock != CLOCK_REALTIME || offset_ms == 0) return result;
+    const auto whole_seconds = static_cast<long>(offset_ms / 1000);
+    const double nanoseconds = static_cast<double>(time->tv_nsec) + (offset_ms - 1000 * whole_seconds) * 1e6;
     const auto carry = static_cast<long>(nanoseconds / 1e9) - (nanoseconds < 0 ? 1 : 0);
-    time->tv_sec += static_cast<long>(offset / 1000) + carry;
+    time->tv_sec += whole_seconds + carry;
     time->tv_nsec = static_cast<long>(nanoseconds - static_cast<double>(carry) * 1e9);
     return result;
 }
