--- a/bench/guarantee_rows.py
+++ b/bench/guarantee_rows.py
@@ -68,98 +68,98 @@
 
 GUARANTEES = [
     Guarantee(
-        "a look before sending",
+        "check for a departed client before sending",
         [Edit(SIDECAR, "client->notice_leaving();", "(void)client;")],
         NET,
         "Departure.InTheKernelBehindTheRequestIsHeededBeforeItIsSentOn",
     ),
     Guarantee(
-        "the last moment before writing",
+        "check for a departed client just before writing",
         [Edit(UPSTREAM, "        if (!may_write(link, false)) return;\n", "")],
         NET,
         "Departure.WhileAConnectionComesUpIsHeededBeforeItIsWrittenTo",
     ),
     Guarantee(
-        "a look when a connection is up",
+        "check for a departed client when a connection is established",
         [Edit(SIDECAR, "[this](AttemptKey key, bool begun) { return may_write(key, begun); }", "{}")],
         NET,
         "Departure.IsLookedForWhenAConnectionHasComeUp",
     ),
     # The findings of docs/incidents/2026-12-02-fault-hunt.md.
     Guarantee(
-        "aborted connections are no empty queue",
+        "an aborted connection does not mean an empty backlog",
         [Edit(LISTENER, "acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));", "")],
         PROCESS,
         "AbortedConnection.IsNoEmptyQueue",
     ),
     Guarantee(
-        "interrupted sends go on",
+        "interrupted sends continue",
         [Edit("src/net/socket_io.hpp", "} else if (errno != EINTR) {", "} else {")],
         PROCESS,
         "PartialCalls.LoseNoRequestAndNoAnswer",
     ),
     Guarantee(
-        "a look before each further part",
+        "check for a departed client before each further part",
         [Edit(UPSTREAM, "if (!link->job->probe && !may_write(link, true)) return;", "")],
         NET,
         "Departure.IsLookedForBeforeEachFurtherPart",
     ),
     Guarantee(
-        "short pauses after failed calls",
+        "short pauses after failed discovery calls",
         [Edit(MODULE, "kLongestResubscribe = 2000", "kLongestResubscribe = 8000")],
         RULES,
         "Rule3.PausesBetweenFailedCallsKeepWithinTheTimeForAsking",
     ),
     Guarantee(
-        "the end of an answer without a length",
+        "the end of a response without a length",
         [Edit(UPSTREAM, "link->parser->put_eof(ec);", "{}")],
         NET,
         "NoLength.IsWholeWhereItsServerEndsItAndSpoiltByAReset",
     ),
     Guarantee(
-        "time in the kernel",
+        "waiting in the kernel counts as time spent",
         [Edit(LISTENER, "std::max(std::exchange(waited_, 0), owner_.waited_for_loop())", "0")],
         NET,
         "TimeLeft.RunsWhileTheProcessStandsStill",
     ),
     Guarantee(
-        "time ahead of its turn",
+        "waiting behind pipelined requests counts as time spent",
         [Edit(LISTENER, "if (in_.size() > 0) ahead_since_ = began_;", "")],
         NET,
         "TimeLeft.RunsWhileARequestAwaitsItsTurn",
     ),
     Guarantee(
-        "the start waits",
+        "the start waits for missing resources",
         [Edit(STARTUP, "is_shortage(error.code()) ||", "")],
         PROCESS,
         "Start.WaitsOutAMomentsShortage",
     ),
     Guarantee(
-        "faults of this machine",
+        "a local fault spends no attempt",
         [Edit(UPSTREAM, "if (is_local_fault(error)) return dial_again(link);", "")],
         PROCESS,
         "LocalFault.OfAConnectIsWaitedOutAndSpendsNoAttempt",
     ),
     Guarantee(
-        "starts on the monotonic clock",
+        "server start times on the monotonic clock",
         [Edit(SIDECAR, "start_times_.start_of(host.born, clock_.now())", "host.born")],
         NET,
         "WallClock.AStepNeitherHidesThatAServerIsColdNorKeepsItCold",
     ),
     Guarantee(
-        "a new connection's grace in a drain",
+        "time for a new connection's first request in a drain",
         [Edit(LISTENER, "&& !just_opened &&", "&&")],
         NET,
         "Drain.LeavesANewConnectionTimeForItsFirstRequest",
     ),
     Guarantee(
-        "the guard of what runs once",
+        "the guard of requests that run once",
         [Edit(GUARD, "if (request.kind.effect == Effect::once) return Withheld::may_have_run;", "")],
         NET,
         "RuleGuard.WithholdsASendForEachReasonAndCountsWrongDecisions",
     ),
     Guarantee(
-        "parts written are withdrawn",
+        "partly written requests are withdrawn",
         [
             Edit(
                 UPSTREAM,
@@ -171,7 +171,7 @@
         "Departure.WithdrawsWhatIsWrittenInPart",
     ),
     Guarantee(
-        "what leaves is withdrawn from the module",
+        "a departed client is reported to the balancer",
         [
             Edit(
                 SIDECAR,
@@ -183,7 +183,7 @@
         "Attempts.ClientGoneClosesTheAttempt",
     ),
     Guarantee(
-        "reading on past the bound",
+        "reading continues past the bound on pipelined bytes",
         [
             Edit(
                 LISTENER,
@@ -195,61 +195,61 @@
         "Departure.BehindAnyAmountSentAheadIsSeen",
     ),
     Guarantee(
-        "the bound on what is held ahead",
+        "the bound on pipelined bytes",
         [Edit(LISTENER, "if (all > kMostAhead ||", "if (false &&")],
         NET,
         "Departure.WhatIsSentAheadIsServedInTurnUpToABound",
     ),
     Guarantee(
-        "memory for what is held ahead",
+        "pipelined bytes count towards the memory limit",
         [Edit(LISTENER, "owner_.body_bytes_ += ahead_claimed_;", "")],
         NET,
         "Departure.WhatIsHeldAheadSharesTheMemoryAndGivesItBack",
     ),
     Guarantee(
-        "silent ones are looked at before they are closed",
+        "idle connections are checked for bytes before they are closed",
         [Edit(LISTENER, "if (state_ == State::idle && unread()) return;", "")],
         NET,
         "Closing.ForSilenceTakesNoRequestThatHasJustCome",
     ),
     Guarantee(
-        "slow ones are looked at before they make room",
+        "slow connections are checked for bytes before they are evicted",
         [Edit(LISTENER, " && session->unread())", " && false)")],
         NET,
         "Closing.ForRoomTakesNoRequestThatHasJustComeWhole",
     ),
     Guarantee(
-        "quiet means nothing in the kernel",
+        "an idle connection has no unread bytes in the kernel",
         [Edit(LISTENER, "!just_opened && !unread();", "!just_opened;")],
         NET,
         "Drain.LeavesAConnectionWhoseRequestIsUnread",
     ),
     Guarantee(
-        "idle after the drain began",
+        "a connection that becomes idle in a drain is closed",
         [Edit(LISTENER, "if (owner_.draining_ && quiet()) return close(CloseReason::draining);", "")],
         NET,
         "Drain.ClosesAConnectionWhoseAnswerWasOnItsWay",
     ),
     Guarantee(
-        "answers in a drain say close",
+        "responses in a drain have Connection: close",
         [Edit(LISTENER, "keep = keep && !owner_.draining_ &&", "keep = keep &&")],
         NET,
         "Stopping.ServesOnThenEnds",
     ),
     Guarantee(
-        "the kill of long deadlines",
+        "a drain ends before the kill",
         [Edit(NODE, "std::min(longest, kKillAfter)", "longest")],
         NET,
         "Drain.WhatComesLateIsAnsweredBeforeTheKillOfLongDeadlines",
     ),
     Guarantee(
-        "half requests are told off",
+        "half requests are answered before a drain ends",
         [Edit(NODE, "if (clock_.now() >= tell_off_at_) listener_.tell_off();", "")],
         NET,
         "Drain.HalfARequestIsToldOffBeforeTheEnd",
     ),
     Guarantee(
-        "no end before the last answer",
+        "a drain does not end before the last response",
         [
             Edit(
                 NODE,
@@ -261,19 +261,19 @@
         "Drain.WaitsForTheDeadlinesOfAnOlderConfiguration",
     ),
     Guarantee(
-        "a drain's end stays where it was",
+        "a second signal does not move the end of a drain",
         [Edit(NODE, "    if (stopped_) return;\n    stopped_ =", "    stopped_ =")],
         NET,
         "Drain.ASecondSignalChangesNothing",
     ),
     Guarantee(
-        "what drains gets nothing",
+        "a draining server gets nothing new",
         [Edit(SIDECAR, "closed.push_back(id);", "{}")],
         NET,
         "Attempts.ConnectingToADrainingServerIsNeverWritten",
     ),
     Guarantee(
-        "nor what is retried",
+        "a draining server gets no retries",
         [
             Edit(MODULE, "if (!s.listed || s.info.phase != Phase::on) return false;  // rule 3", ""),
             Edit(
@@ -287,7 +287,7 @@
         "List.WhatIsRetriedDoesNotGoToADrainingServer",
     ),
     Guarantee(
-        "a moved server takes along what connects",
+        "connecting attempts are withdrawn from a server that moves",
         [
             Edit(
                 SIDECAR,
@@ -299,7 +299,7 @@
         "List.AServerThatMovesTakesAlongWhatStillConnects",
     ),
     Guarantee(
-        "the list comes before what it withdraws",
+        "a new list is applied before attempts are withdrawn",
         [
             Edit(
                 SIDECAR,
@@ -316,7 +316,7 @@
         "List.WhatIsWithdrawnIsPlacedAnewByTheList",
     ),
     Guarantee(
-        "a repeat's time to be written",
+        "a repeat is written before its deduplication window ends",
         [
             Edit(UPSTREAM, "clock_.point(std::min(patience, job.write_until))", "clock_.point(patience)"),
             Edit(
@@ -329,7 +329,7 @@
         "Attempt.NothingIsWrittenOnceTheServersHaveForgottenItsKey",
     ),
     Guarantee(
-        "a repeat's time as its server's memory has it",
+        "a repeat's deadline by the server's deduplication window",
         [
             Edit(
                 MODULE,
@@ -341,7 +341,7 @@
         "Attempt.NothingIsWrittenOnceTheServersHaveForgottenItsKey",
     ),
     Guarantee(
-        "the rest of a repeat is not written",
+        "the rest of a repeat is not written after its window",
         [
             Edit(
                 UPSTREAM,
@@ -353,7 +353,7 @@
         "Attempt.TheRestIsNotWrittenOnceTheServersHaveForgottenItsKey",
     ),
     Guarantee(
-        "no descriptor is no server's fault",
+        "a lack of descriptors is not the server's failure",
         [
             Edit(
                 UPSTREAM,
@@ -365,19 +365,19 @@
         "Pool.NoDescriptorIsNoFaultOfTheServer",
     ),
     Guarantee(
-        "idle for too long before any timer",
+        "an expired idle connection is not used before its timer fires",
         [Edit(UPSTREAM, " || now >= idle_until(*link)", "")],
         NET,
         "Pool.AConnectionIdleForTooLongIsNotUsedBeforeItsTimerFires",
     ),
     Guarantee(
-        "resting ones are closed while the door is open",
+        "idle connections are closed while new ones are accepted",
         [Edit(NODE, "        listener_.close_quiet();\n", "")],
         NET,
         "Drain.WhoeverIsClosedWhileRestingMayAskOnANewConnection",
     ),
     Guarantee(
-        "the queue waits for descriptors",
+        "the backlog waits for descriptors",
         [
             Edit(
                 LISTENER,
@@ -389,25 +389,25 @@
         "Drain.EmptiesTheQueueOnceThereAreDescriptors",
     ),
     Guarantee(
-        "as much is thrown away as kernels hold",
+        "as much is discarded as kernel buffers hold",
         [Edit(LISTENER, "kThrownAway = 1024 * 1024", "kThrownAway = 256 * 1024")],
         NET,
         "Departure.BehindAllThatAKernelHoldsIsSeenWithinSixLooks",
     ),
     Guarantee(
-        "a file half written is read again",
+        "a partly written file is read again",
         [Edit(NODE, "        if (reads > 1) {", "        if (false) {")],
         NET,
         "Reload.AFileThatIsBeingWrittenIsReadAgain",
     ),
     Guarantee(
-        "discovery moves during a pause",
+        "a move of discovery ends a retry pause",
         [Edit(DISCOVERY, "    active_ = true;  // a pause", "    // a pause")],
         NET,
         "List.DiscoveryThatMovesDuringAPauseIsAskedAtOnce",
     ),
     Guarantee(
-        "a silent watch is given up",
+        "a silent watch is closed",
         [
             Edit(
                 DISCOVERY,
@@ -419,13 +419,13 @@
         "Watch.ThatFellSilentIsOpenedAnewWhileTheListMayStillBeOld",
     ),
     Guarantee(
-        "the last byte's configuration",
+        "a request belongs to the configuration at its last byte",
         [Edit(LISTENER, "chunked || changed ? form_fault", "chunked ? form_fault")],
         NET,
         "Generation.ARequestBelongsToTheOneInForceAtItsLastByte",
     ),
     Guarantee(
-        "the head's configuration",
+        "the configuration is taken anew at a request's head",
         [
             Edit(
                 LISTENER,
@@ -442,31 +442,31 @@
         "Generation.AClassOfTheSameNameHasItsNewEffect",
     ),
     Guarantee(
-        "an idle connection that has ended is not used",
+        "a closed idle connection is not used",
         LOOKED_AT_WHEN_IDLE,
         NET,
         "Pool.AStaleConnectionIsNotWrittenTo",
     ),
     Guarantee(
-        "a connection settles",
+        "a connection is reused only after a settling time",
         [Edit(UPSTREAM, "if (link->idle_since > settled) continue;", "")],
         NET,
         "Pool.AConnectionSettlesBeforeItIsUsedAgain",
     ),
     Guarantee(
-        "bytes behind an answer end its connection",
+        "bytes after a response close its connection",
         [Edit(UPSTREAM, "&& link->in.size() == 0 &&", "&&")],
         NET,
         "Attempt.WhatComesBehindAnAnswerIsNobodys",
     ),
     Guarantee(
-        "idle connections go before the server closes them",
+        "idle connections are closed before the server does so",
         [Edit(UPSTREAM, "limits_.idle_close - std::min", "100000 - std::min")],
         NET,
         "Pool.IdleConnectionsGoBeforeTheServersLimit",
     ),
     Guarantee(
-        "a reset may have run",
+        "a request whose connection was reset may have run",
         [
             Edit(
                 MODULE,
@@ -478,13 +478,13 @@
         "All/Endings.AreToldTruly/reset_once",
     ),
     Guarantee(
-        "an attempt that is over is closed",
+        "the connection of a finished attempt is closed",
         CLOSED_WHEN_OVER,
         NET,
         "Attempts.TimedOutIsAnsweredByTheDeadlineAndClosed",
     ),
     Guarantee(
-        "a late answer finds its connection closed and its request answered",
+        "a late response finds its connection closed and its request answered",
         [
             Edit(
                 SIDECAR,
@@ -503,7 +503,7 @@
         "Attempts.ALateAnswerGoesNowhere",
     ),
     Guarantee(
-        "the module ends what its client left",
+        "the balancer ends the requests of departed clients",
         [
             Edit(
                 MODULE,
@@ -515,13 +515,13 @@
         "Rules.HoldOverRandomLegalLives",
     ),
     Guarantee(
-        "half a request is answered",
+        "half a request is answered with 408",
         [Edit(LISTENER, "if (state_ == State::reading) return reject(http::status::request_timeout);", "")],
         NET,
         "BadRequests.TheSlowAreToldOffWithinThreeSeconds",
     ),
     Guarantee(
-        "reading goes on while a request waits",
+        "reading continues while a request waits",
         [
             Edit(
                 LISTENER,
@@ -534,7 +534,7 @@
         "BadRequests.APipeliningClientThatLeavesIsNoticed",
     ),
     Guarantee(
-        "the queue is emptied",
+        "the backlog is emptied in a drain",
         [
             Edit(
                 LISTENER,
@@ -546,7 +546,7 @@
         "Drain.LeavesAConnectionWhoseRequestIsUnread",
     ),
     Guarantee(
-        "a change in a drain is taken",
+        "a configuration change during a drain is applied",
         [
             Edit(
                 NODE,
@@ -562,7 +562,7 @@
         "HardCases.ANewConfigurationDuringTheDrainIsTakenAndLengthensNothing",
     ),
     Guarantee(
-        "the list is followed in a drain",
+        "list changes are followed in a drain",
         [
             Edit(
                 NODE,
@@ -574,7 +574,7 @@
         "Drain.StillFollowsTheList",
     ),
     Guarantee(
-        "short of its last byte it never ran",
+        "a request without its last byte did not run",
         [
             Edit(
                 UPSTREAM,
@@ -592,28 +592,31 @@
         "Attempts.ResetBeforeTheLastByteNeverRan",
     ),
     Guarantee(
-        "an idle connection that talks goes", LOOKED_AT_WHEN_IDLE, NET, "Pool.ALeftoverIsNeverTheNextAnswer"
+        "an idle connection with unexpected bytes is closed",
+        LOOKED_AT_WHEN_IDLE,
+        NET,
+        "Pool.ALeftoverIsNeverTheNextAnswer",
     ),
     Guarantee(
-        "interim answers have an end",
+        "the number of interim responses is bounded",
         [Edit(UPSTREAM, "|| ++link->interim > kMostInterim", "")],
         NET,
         "Spoilt/Endings.AreToldTruly/endless_interim",
     ),
     Guarantee(
-        "nothing stays of a server that is gone",
+        "nothing remains of a removed server",
         [Edit(UPSTREAM, "    at->second->withdrawn = true;\n", "")],
         NET,
         "Pool.NothingStaysOfServersThatAreGone",
     ),
     Guarantee(
-        "changes only after a call that failed",
+        "only changes are requested after a failed call",
         [Edit(DISCOVERY, "call(gap_ || fetch_);", "call(true);")],
         NET,
         "Watch.AfterACallThatFailedItAsksForChangesOnly",
     ),
     Guarantee(
-        "an older list changes nothing",
+        "an older list is ignored",
         [
             Edit(
                 DISCOVERY,
@@ -625,7 +628,7 @@
         "Watch.SurvivesGarbageOldListsAndDowntime",
     ),
     Guarantee(
-        "discovery moves at once",
+        "a move of discovery takes effect at once",
         [
             Edit(
                 DISCOVERY,
@@ -637,7 +640,7 @@
         "Watch.MovesWithTheConfigurationAtOnce",
     ),
     Guarantee(
-        "a request keeps its settings",
+        "a request retains the settings it began with",
         [
             Edit(
                 MODULE,
@@ -649,13 +652,13 @@
         "Rules.HoldForEachRequestByTheSettingsItBeganWith",
     ),
     Guarantee(
-        "a lower limit is come to after the answers",
+        "a lowered connection limit waits for the responses",
         [Edit(UPSTREAM, "if (keep && open_ <= limits_.connections)", "if (keep)")],
         NET,
         "HardCases.ALimitLoweredBelowWhatIsInUseCutsNoRequest",
     ),
     Guarantee(
-        "what was learnt stays",
+        "a new configuration retains what was learnt about servers",
         [
             Edit(
                 MODULE,
@@ -670,7 +673,7 @@
         "Change.WhatWasLearntAboutServersStays",
     ),
     Guarantee(
-        "a call given up is repeated",
+        "a discovery call that timed out is repeated",
         [
             Edit(
                 DISCOVERY,
@@ -682,37 +685,37 @@
         "List.ACallGivenUpForItsTimeIsRepeatedWithoutBeingToldAsFailed",
     ),
     Guarantee(
-        "half a request has its own time",
+        "half a request has its own timeout",
         [Edit(LISTENER, "std::max(began_ + kReadTime, now + kLeastReadTime)", "now + kReadTime")],
         NET,
         "BadRequests.HalfARequestBehindALongAnswerIsToldOffByItsOwnTime",
     ),
     Guarantee(
-        "and where it was not accepted at once",
+        "half a request accepted late has its own timeout",
         [Edit(LISTENER, "std::max(kReadTime - waited_, kLeastReadTime)", "kReadTime")],
         NET,
         "BadRequests.HalfARequestThatCouldNotBeAcceptedIsToldOffByItsOwnTime",
     ),
     Guarantee(
-        "no wait for the log's reader",
+        "a full log pipe does not block",
         [Edit("src/net/log.hpp", " || !log_takes_a_line()", "")],
         PROCESS,
         "Log.ThatNobodyReadsHoldsUpNoRequest",
     ),
     Guarantee(
-        "no signal ends what has ended",
+        "no signal kills a process that is exiting",
         [Edit("src/main.cpp", "    mask_signals(SIG_BLOCK);  // for good", "    // for good")],
         PROCESS,
         "PlannedStops.EndWithZeroUnderNewConfigurationsUpToTheLastMoment",
     ),
     Guarantee(
-        "a margin in the time told",
+        "a margin in the time left that is sent on",
         [Edit(UPSTREAM, "return left - std::min(kTimeMargin, left * kTimeMarginShare);", "return left;")],
         NET,
         "TimeLeft.LeavesAMarginForAProcessHeldUpBeforeItsWrite",
     ),
     Guarantee(
-        "a failure is told to a bounded number",
+        "a failure is sent to a bounded number of peers",
         [
             Edit(
                 MODULE,
@@ -724,13 +727,13 @@
         "Gossip.CostsASidecarNoMoreInALargerFleet",
     ),
     Guarantee(
-        "the last moment of a key's window",
+        "no repeat at the very end of a deduplication window",
         [Edit(MODULE, " - std::min(kHeldUp, window * kHeldUpShare)", "")],
         RULES,
         "Rule2.ByKeyIsNotRepeatedInTheLastMomentOfItsWindow",
     ),
     Guarantee(
-        "an end before those behind are owed theirs",
+        "a request ends before the pipelined ones behind it are due",
         [
             Edit(
                 LISTENER,
