--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -4,16 +4,12 @@
 import time
 from dataclasses import dataclass
 
+from client_connection import METHODS, connect, encode_request
 from records import HalfRequest, Request
-from support import http1
 
-METHODS = {"read": "GET", "pay": "POST", "note": "POST"}  # of each class
 TIMES_LEFT_S = (0.004, 0.02, 0.3, 0.6, 0.9, 1.2, 1.5)
 PIPELINED_TIMES_LEFT_S = (0.6, 1.2)
-BODY_BYTES = (0, 20, 3000, 40000)
-CONNECT_TIMEOUT_S = 2.0
 PATIENCE_AFTER_DEADLINE_S = 2.0  # so that a late response is seen and judged
-STREAM_LIMIT_BYTES = 1 << 20
 FINISH_TIMEOUT_S = 8  # for the requests that are still open at the end
 IDLE_CROWD = 170  # idle connections: more than a sidecar accepts
 
@@ -29,33 +25,6 @@
 HALF_REQUEST_BEHIND_S = 2.5
 
 
-@dataclass(frozen=True)
-class Connection:
-    """A client's connection to its sidecar."""
-
-    reader: asyncio.StreamReader
-    writer: asyncio.StreamWriter
-
-    async def send(self, data):
-        """Writes all bytes. Raises OSError."""
-        self.writer.write(data)
-        await self.writer.drain()
-
-    async def read_response(self, timeout_s):
-        """The response, or None where the connection has ended. Raises like http1.read_message, and
-        asyncio.TimeoutError."""
-        reading = http1.read_message(self.reader, length_required=True)
-        return await asyncio.wait_for(reading, timeout_s)
-
-    def close(self):
-        """FIN."""
-        self.writer.close()
-
-    def abort(self):
-        """RST."""
-        http1.abort(self.writer)
-
-
 @dataclass(frozen=True)
 class Behaviour:
     """What is unusual about one request's client."""
@@ -101,7 +70,9 @@
 
     async def crowd(self, seconds):
         """Uses up the sidecar's descriptors with idle connections."""
-        crowd = await asyncio.gather(*(self._connect() for _ in range(IDLE_CROWD)), return_exceptions=True)
+        crowd = await asyncio.gather(
+            *(connect(self.endpoint) for _ in range(IDLE_CROWD)), return_exceptions=True
+        )
         await asyncio.sleep(seconds)
         for connection in crowd:
             if not isinstance(connection, BaseException):
@@ -113,15 +84,9 @@
             connection.abort()
         self._idle.clear()
 
-    async def _connect(self):
-        connecting = asyncio.open_connection(
-            self.endpoint.address, self.endpoint.port, limit=STREAM_LIMIT_BYTES
-        )
-        return Connection(*await asyncio.wait_for(connecting, CONNECT_TIMEOUT_S))
-
     async def _try_connect(self):
         try:
-            return await self._connect()
+            return await connect(self.endpoint)
         except (OSError, asyncio.TimeoutError):
             return None
 
@@ -132,23 +97,6 @@
     def _new_kind(self):
         return self.random.choice(list(METHODS))
 
-    def _encode(self, request):
-        method = METHODS[request.kind]
-        lines = [
-            f"{method} /{request.kind}?sid=7f HTTP/1.1",
-            "Host: api",
-            f"X-Correlation-Id: {request.id}",
-            f"X-Service-Class: {request.kind}",
-            f"X-Time-Left: {int(request.time_left_s * 1000)}m",
-        ]
-        if request.kind == "note":
-            lines.append(f"Idempotency-Key: {request.id}")
-        body = b""
-        if method == "POST":
-            body = b"x" * self.random.choice(BODY_BYTES)
-            lines.append(f"Content-Length: {len(body)}")
-        return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
-
     @staticmethod
     def _patience_s(request):
         """How long its client still waits for a response."""
@@ -172,7 +120,7 @@
 
     async def _exchange(self, request, connection, behaviour):
         """False where the sidecar has closed an idle connection without a response."""
-        data = self._encode(request)
+        data = encode_request(request, self.random)
         try:
             if behaviour.slow:
                 half = len(data) // 2
@@ -228,7 +176,7 @@
         if connection is None:
             return
         requests = self._new_pipeline()
-        data = b"".join(self._encode(request) for request in requests)
+        data = b"".join(encode_request(request, self.random) for request in requests)
         half = self._new_half_request() if self.random.random() < 0.5 else b""
         sent_at = time.monotonic()
         for request in requests:
