--- /dev/null
+++ b/tests/recorded_datagrams_test.cpp
@@ -0,0 +1,252 @@
+// Datagrams as recorded in tests/recorded/datagrams: one of each kind and of each item is read field by field
+// and written again, the short ones of the decision module come out of the same events, and a fleet of
+// replicas on a scripted clock sends, byte for byte, what it sent when its hash was recorded.
+#define XXH_INLINE_ALL
+#include <xxhash.h>
+
+#include <cmath>
+#include <map>
+
+#include "fleet/replica.hpp"
+#include "recorded.hpp"
+#include "rig.hpp"
+
+namespace kelplb::fleet {
+namespace {
+
+std::string file_of(const std::string& name) { return std::string("datagrams/").append(name).append(".hex"); }
+
+struct Case {
+    const char* name;
+    Datagram datagram;
+};
+void PrintTo(const Case& c, std::ostream* out) { *out << c.name; }
+
+constexpr std::uint32_t kLife = 0x6553f100, kIncarnation = 0x01020304;
+
+Datagram a_datagram(Kind kind, std::uint16_t token, MemberId subject, std::vector<Item> items = {}) {
+    return {kind, kLife, kIncarnation, token, subject, std::move(items)};
+}
+
+const MemberItem kAliveMember{0x0123, {0x6553f101, 5, Status::alive}, 0x0a0b0c0d};
+const MemberItem kSuspectMember{2, {0x6553f102, 6, Status::suspect}, 0};
+const MemberItem kDeadMember{4095, {0x6553f103, 7, Status::dead}, 0xffffffff};
+const EvidenceItem kEvidence{0x0102, 0x6553f104, 0xdeadbeef, 0x00010203, {200, 55, 64, 5}, 99};
+const VersionsItem kVersions{0x0304, 0x6553f105, 0x00040506, {11, 0xcafef00d, 3, 0x12345678}};
+const FingerprintItem kFingerprint{0x0506, 0x89abcdef};
+const WantItem kWant{0x0708};
+const RangeItem kRange{15, 0x76543210};
+
+std::vector<Case> cases() {
+    Datagram digest = a_datagram(Kind::digest, 0, 0);
+    for (std::uint8_t i = 0; i < kRanges; ++i) digest.items.push_back(RangeItem{i, 0x01010101u * i});
+    return {
+        {"ping", a_datagram(Kind::ping, 0x1234, 0)},
+        {"probe", a_datagram(Kind::probe, 0x1235, 0x0a0b)},
+        {"ack", a_datagram(Kind::ack, 0x1236, 0x0a0c)},
+        {"gossip", a_datagram(Kind::gossip, 0, 0, {kSuspectMember, kEvidence, kVersions})},
+        {"digest", digest},
+        {"pull", a_datagram(Kind::pull, 0x0003, 0, {kRange, RangeItem{0, 1}})},
+        {"summary", a_datagram(Kind::summary, 0x8000, 0, {kFingerprint, kWant})},
+        {"shout", a_datagram(Kind::shout, 0, 0, {kEvidence, kAliveMember})},
+        {"item-member-alive", a_datagram(Kind::gossip, 0, 0, {kAliveMember})},
+        {"item-member-suspect", a_datagram(Kind::gossip, 0, 0, {kSuspectMember})},
+        {"item-member-dead", a_datagram(Kind::gossip, 0, 0, {kDeadMember})},
+        {"item-evidence", a_datagram(Kind::gossip, 0, 0, {kEvidence})},
+        {"item-versions", a_datagram(Kind::gossip, 0, 0, {kVersions})},
+        {"item-fingerprint", a_datagram(Kind::gossip, 0, 0, {kFingerprint})},
+        {"item-want", a_datagram(Kind::gossip, 0, 0, {kWant})},
+        {"item-range", a_datagram(Kind::gossip, 0, 0, {kRange})},
+    };
+}
+
+class RecordedDatagrams : public testing::TestWithParam<Case> {};
+
+TEST_P(RecordedDatagrams, AreReadFieldByFieldAndWrittenTheSame) {
+    const Case& c = GetParam();
+    const Bytes written = encode(c.datagram);
+    recorded::expect_same(file_of(c.name), recorded::hex_of(written).append("\n"));
+    const Bytes bytes = recorded::bytes_of_hex(recorded::read(file_of(c.name)));
+    EXPECT_TRUE(is_shared_state(bytes));
+    const auto read = decode(bytes);
+    ASSERT_TRUE(std::holds_alternative<Datagram>(read)) << word(std::get<Fault>(read));
+    const Datagram& datagram = std::get<Datagram>(read);
+    EXPECT_EQ(datagram.kind, c.datagram.kind);
+    EXPECT_EQ(datagram.life, c.datagram.life);
+    EXPECT_EQ(datagram.incarnation, c.datagram.incarnation);
+    EXPECT_EQ(datagram.token, c.datagram.token);
+    EXPECT_EQ(datagram.subject, c.datagram.subject);
+    EXPECT_TRUE(datagram.items == c.datagram.items);
+    EXPECT_EQ(encode(datagram), bytes);
+}
+INSTANTIATE_TEST_SUITE_P(All, RecordedDatagrams, testing::ValuesIn(cases()), [](const auto& info) {
+    std::string name = info.param.name;
+    std::replace(name.begin(), name.end(), '-', '_');
+    return name;
+});
+
+// ---- The short ones of the decision module ----------------------------------------------------------------
+
+// A light sidecar of a fleet of 160, whose requests end so; a line for each datagram it sends.
+std::string lines_of_short_datagrams(Outcome outcome) {
+    Settings settings = test::make_settings({test::make_class(Effect::once)});
+    settings.may_tell = true;
+    settings.siblings = 160;
+    settings.my_number = 7;
+    test::Rig rig(settings);
+    auto servers = test::make_servers(20);
+    for (ServerInfo& server : servers) server.id = 0x01020300 + server.id;
+    rig.list(ListKind::full, servers);
+    std::string lines;
+    for (int i = 0; i < 12; ++i) {
+        rig.pass(700);
+        const RequestId id = rig.request();
+        if (!rig.out(id)) continue;
+        rig.end(id, outcome, 100);
+        for (const Action& action : rig.last)
+            if (const auto* tell = std::get_if<TellPeer>(&action)) {
+                lines += tell->to ? std::to_string(*tell->to) : "all";
+                lines += ' ';
+                lines += recorded::hex_of(tell->bytes);
+                lines += '\n';
+            }
+    }
+    return lines;
+}
+
+TEST(RecordedShortDatagrams, TellTheSamePeersOfFailuresInFourBytes) {
+    const std::string lines = lines_of_short_datagrams(Outcome::severed);
+    EXPECT_NE(lines.find(" 010203"), std::string::npos) << "the server's number";
+    recorded::expect_same("datagrams/failures-told.txt", lines);
+}
+
+TEST(RecordedShortDatagrams, TellTheSamePeersOfTheAnswersTimeInOneByte) {
+    const std::string lines = lines_of_short_datagrams(Outcome::completed);
+    EXPECT_NE(lines, "");
+    recorded::expect_same("datagrams/answer-times-told.txt", lines);
+}
+
+TEST(RecordedShortDatagrams, AreToldFromThoseOfTheSharedStateByTheirLength) {
+    for (const auto& [name, size] : {std::pair{"failures-told", 4u}, {"answer-times-told", 1u}}) {
+        std::istringstream lines(recorded::read(std::string("datagrams/").append(name).append(".txt")));
+        std::size_t datagrams = 0;
+        for (std::string peer, digits; lines >> peer >> digits; ++datagrams) {
+            const Bytes bytes = recorded::bytes_of_hex(digits);
+            EXPECT_EQ(bytes.size(), size) << name << " " << digits;
+            EXPECT_FALSE(is_shared_state(bytes));
+            EXPECT_TRUE(std::holds_alternative<Fault>(decode(bytes)));
+        }
+        EXPECT_GT(datagrams, 5u) << name;
+    }
+}
+
+// ---- A fleet on a scripted clock --------------------------------------------------------------------------
+
+// Replicas whose datagrams each take 7 ms, in the order in which they were sent. One may be silent: it does
+// nothing and nothing reaches it.
+class ScriptedFleet {
+public:
+    explicit ScriptedFleet(std::size_t members) {
+        for (std::size_t i = 0; i < members; ++i)
+            replicas_.emplace_back(static_cast<MemberId>(i), members, kLife + static_cast<std::uint32_t>(i),
+                                   /*seed=*/1000 + i);
+    }
+    template <class Act>
+    void act(MemberId i, Act act) {
+        std::vector<Outgoing> out;
+        act(replicas_[i], now_, out);
+        for (Outgoing& datagram : out) post(i, std::move(datagram));
+    }
+    void run_for(int milliseconds) {
+        for (const int end = elapsed_ + milliseconds; elapsed_ < end; ++elapsed_, now_ += 1) {
+            deliver();
+            for (MemberId i = 0; i < replicas_.size(); ++i)
+                if (i != silent && replicas_[i].due() <= now_)
+                    act(i, [](Replica& r, Millis now, auto& out) { r.advance(now, out); });
+        }
+    }
+    std::string summary() {
+        char text[128];
+        std::snprintf(text, sizeof text, "datagrams %llu bytes %llu xxh64 %016llx\n",
+                      static_cast<unsigned long long>(datagrams_), static_cast<unsigned long long>(bytes_),
+                      static_cast<unsigned long long>(XXH64(sent_.data(), sent_.size(), 0)));
+        return text;
+    }
+    Replica& at(MemberId i) { return replicas_[i]; }
+    MemberId silent = kAll;
+
+private:
+    struct InFlight {
+        MemberId from, to;
+        Bytes bytes;
+    };
+    void post(MemberId from, Outgoing datagram) {
+        ++datagrams_, bytes_ += datagram.bytes.size();
+        fold(static_cast<std::uint32_t>(elapsed_)), fold(from), fold(datagram.to);
+        fold(static_cast<std::uint32_t>(datagram.bytes.size()));
+        sent_.insert(sent_.end(), datagram.bytes.begin(), datagram.bytes.end());
+        for (MemberId to = 0; to < replicas_.size(); ++to)
+            if (to != from && (datagram.to == kAll || datagram.to == to))
+                flying_.emplace(elapsed_ + kDelay, InFlight{from, to, datagram.bytes});
+    }
+    void fold(std::uint32_t number) {
+        for (int shift = 24; shift >= 0; shift -= 8)
+            sent_.push_back(static_cast<std::uint8_t>(number >> shift));
+    }
+    void deliver() {
+        while (!flying_.empty() && flying_.begin()->first <= elapsed_) {
+            const InFlight datagram = std::move(flying_.begin()->second);
+            flying_.erase(flying_.begin());
+            if (datagram.to == silent || datagram.from == silent) continue;
+            act(datagram.to, [&](Replica& r, Millis now, auto& out) {
+                r.receive(now, datagram.from, datagram.bytes, out);
+            });
+        }
+    }
+    static constexpr int kDelay = 7;
+    std::vector<Replica> replicas_;
+    std::multimap<int, InFlight> flying_;
+    int elapsed_ = 0;
+    Millis now_ = kLife * 1000.0;
+    std::uint64_t datagrams_ = 0, bytes_ = 0;
+    Bytes sent_;  // each datagram behind its time, its sender, its receiver and its size
+};
+
+// What each holds of the others, so that a changed hash can be told from a changed outcome.
+std::string line_of(const Replica& replica) {
+    char text[160];
+    std::snprintf(text, sizeof text,
+                  "member %u alive %zu records %zu fingerprint %08x versions %zu caught up %d\n",
+                  static_cast<unsigned>(replica.self()), replica.alive(), replica.records(),
+                  replica.fingerprint(), replica.versions().size(), replica.caught_up());
+    return text;
+}
+
+TEST(RecordedReplication, SendsTheSameDatagramsAtTheSameTimes) {
+    constexpr MemberId kMembers = 5, kSilentOne = 3;
+    ScriptedFleet fleet(kMembers);
+    const auto start = [](Replica& r, Millis now, auto& out) { r.start(now, out); };
+    const auto say = [](auto... what) { return [=](Replica& r, Millis now, auto&) { r.say(now, what...); }; };
+    std::string text;
+    const auto mark = [&](const char* stage) {
+        text.append(stage).append(" ").append(fleet.summary());
+        for (MemberId i = 0; i < kMembers; ++i) text += line_of(fleet.at(i));
+    };
+    for (MemberId i = 0; i < kMembers; ++i) fleet.act(i, start), fleet.run_for(20);
+    fleet.run_for(1500), mark("started");
+    fleet.act(0, say(ServerKey{9}, Evidence{20, 3, 70, kRemoved}));
+    fleet.act(1, say(ServerKey{9}, Evidence{30, 0, 60, 0}));
+    fleet.act(2, say(ServerKey{0xabcdef01}, Evidence{0, 5, 0, kClosed})), fleet.run_for(1500);
+    mark("evidence");
+    fleet.act(4, say(Versions{2, 0x1234, 1, 17})), fleet.run_for(1000), mark("versions");
+    fleet.silent = kSilentOne, fleet.run_for(9000), mark("silent");
+    EXPECT_EQ(fleet.at(0).member(kSilentOne).standing().status, Status::dead);
+    fleet.silent = kAll, fleet.run_for(5000), mark("heard-again");
+    EXPECT_EQ(fleet.at(0).member(kSilentOne).standing().status, Status::alive);
+    fleet.act(1, [](Replica& r, Millis now, auto& out) { r.leave(now, out); });
+    fleet.run_for(2000), mark("one-left");
+    recorded::expect_same("datagrams/replication.txt", text);
+}
+
+}  // namespace
+}  // namespace kelplb::fleet
