--- /dev/null
+++ b/tests/recorded_bytes_test.cpp
@@ -0,0 +1,291 @@
+// What an earlier version wrote down and was given: a configuration file with every field, read into its
+// typed form, and a state folder, recovered field by field and written again to the same bytes.
+#include <unistd.h>
+
+#include "net_rig.hpp"
+#include "recorded.hpp"
+
+namespace kelplb::net {
+namespace {
+
+namespace fs = std::filesystem;
+
+// ---- The configuration ------------------------------------------------------------------------------------
+
+Config recorded_config() {
+    return read_config(parse_config(recorded::read("config.json"), "tests/recorded/config.json"));
+}
+
+TEST(RecordedConfiguration, GivesTheFieldsOfTheProcess) {
+    const Config c = recorded_config();
+    EXPECT_EQ(c.name, "n3");
+    EXPECT_EQ(text_of(c.listen), "127.0.0.1:8081");
+    EXPECT_EQ(text_of(c.discovery), "127.0.0.2:8500");
+    EXPECT_EQ(c.seed, 0x1f2e3d4c5b6a7988u);
+    EXPECT_EQ(c.sockets, 512u);
+    EXPECT_EQ(c.memory_mb, 64u);
+    EXPECT_EQ(text_of(c.peer_listen.value()), "127.0.0.4:7946");
+    ASSERT_EQ(c.peers.size(), 4u);
+    EXPECT_EQ(text_of(c.peers[0]), "127.0.0.1:7946");
+    EXPECT_EQ(text_of(c.peers[3]), "127.0.0.4:7946");
+    EXPECT_EQ(text_of(c.peers_all.value()), "127.0.0.255:7946");
+}
+
+TEST(RecordedConfiguration, GivesTheOwnSection) {
+    const Config c = recorded_config();
+    EXPECT_EQ(text_of(c.admin.value()), "127.0.0.1:9901");
+    EXPECT_EQ(c.state_dir, "/var/lib/cobaltshift");
+    EXPECT_EQ(c.lived, 3000);
+    EXPECT_EQ(c.trial.bake, 5000);
+    EXPECT_EQ(c.trial.margin, 0.125);
+    EXPECT_EQ(c.trial.min_samples, 20u);
+    EXPECT_EQ(c.epoch, 7u);
+    EXPECT_EQ(c.rollout, 0.25);
+    EXPECT_TRUE(c.fleet.enabled);
+    EXPECT_FALSE(c.fleet.agreement);
+    EXPECT_EQ(c.fleet.probe_period, 900);
+    EXPECT_EQ(c.fleet.gossip_period, 90);
+    EXPECT_EQ(c.fleet.sync_period, 1900);
+    EXPECT_TRUE(c.shares());
+}
+
+TEST(RecordedConfiguration, GivesTheKnownList) {
+    const HostList list = recorded_config().known.value();
+    EXPECT_EQ(list.seq, 41u);
+    EXPECT_TRUE(list.whole);
+    ASSERT_EQ(list.hosts.size(), 3u);
+    EXPECT_EQ(list.hosts[0].name, "s1");
+    EXPECT_EQ(text_of(list.hosts[0].dial), "127.0.1.1:9001");
+    EXPECT_EQ(list.hosts[0].zone, "a");
+    EXPECT_EQ(list.hosts[0].cell, 2u);
+    EXPECT_EQ(list.hosts[0].phase, Phase::on);
+    EXPECT_EQ(list.hosts[0].born, 1700000000000.0);
+    EXPECT_EQ(list.hosts[0].units, 1.5);
+    EXPECT_EQ(text_of(list.hosts[1].dial), "[::1]:9002");
+    EXPECT_EQ(list.hosts[1].phase, Phase::fading);
+    EXPECT_EQ(list.hosts[2].name, "s3");
+    EXPECT_EQ(list.hosts[2].phase, Phase::off);
+    EXPECT_EQ(list.hosts[2].units, 1);
+}
+
+TEST(RecordedConfiguration, GivesTheClasses) {
+    const Config c = recorded_config();
+    EXPECT_EQ(c.classes, (std::vector<std::string>{"listen", "deposit", "annotate"}));
+    EXPECT_EQ(c.longest_deadline, 3000) << "of the class that says none";
+    const auto& classes = c.settings.classes;
+    ASSERT_EQ(classes.size(), 3u);
+    const auto expect = [&](std::size_t i, Effect effect, DedupScope scope, Millis window, Millis aim,
+                            double stretch, double worth) {
+        EXPECT_EQ(classes[i].effect, effect) << i;
+        EXPECT_EQ(classes[i].dedup_scope, scope) << i;
+        EXPECT_EQ(classes[i].dedup_window, window) << i;
+        EXPECT_EQ(classes[i].aim, aim) << i;
+        EXPECT_EQ(classes[i].aim_stretch, stretch) << i;
+        EXPECT_EQ(classes[i].worth, worth) << i;
+    };
+    expect(0, Effect::repeatable, DedupScope::all, 1000, 400, 1.25, 1);
+    expect(1, Effect::once, DedupScope::zone, 2000, 300, 0.5, 3);
+    expect(2, Effect::by_key, DedupScope::cell, 5000, 200, 0, 2);
+}
+
+TEST(RecordedConfiguration, GivesTheOtherSettings) {
+    const Config c = recorded_config();
+    const Settings& s = c.settings;
+    EXPECT_EQ(c.my_zone, "b");
+    EXPECT_EQ(s.my_zone, std::nullopt) << "it has no number yet";
+    EXPECT_TRUE(s.list_on_request);
+    EXPECT_EQ(s.siblings, 4u);
+    EXPECT_EQ(s.my_number, 3u);
+    EXPECT_EQ(s.max_attempts, 5u);
+    EXPECT_TRUE(s.parallel_tries);
+    EXPECT_TRUE(s.may_cancel);
+    EXPECT_TRUE(s.may_probe);
+    EXPECT_TRUE(s.may_tell);
+    EXPECT_EQ(c.connect_timeout, 750);
+    EXPECT_EQ(c.idle_close, 12000);
+    EXPECT_EQ(c.max_retry_after, 800);
+    EXPECT_EQ(s.ask_within, 650);
+    EXPECT_EQ(s.cold_from, 0.16);
+    EXPECT_EQ(s.fall_multiple, 2.5);
+    EXPECT_EQ(s.warm_within, 20000);
+    EXPECT_EQ(s.fees.cross_zone, 0.02);
+    EXPECT_EQ(s.fees.probe, 0.001);
+}
+
+TEST(RecordedConfiguration, IsAcceptedAsTheSameDocumentOfTheSameHash) {
+    const Config c = recorded_config();
+    recorded::expect_same("config-document.json", c.document);
+    recorded::expect_same("config-settings-hash.txt", std::to_string(c.settings_hash) + "\n");
+    recorded::expect_same("config-in-rollout.txt", c.in_rollout() ? "yes\n" : "no\n");
+}
+
+// ---- The state folder -------------------------------------------------------------------------------------
+
+const Stamp kWrittenAt{1.7e12 + 0.25, 5e6 + 0.5, "boot-a"};
+constexpr Millis kLater = 3000;
+const std::string kDiscovery = "127.0.0.2:8500";
+
+json config_one() { return a_config(kDiscovery, {host("s1", "127.0.0.1:2")}); }
+json config_two() {
+    json j = config_one();
+    j["settings"]["limits"]["max-attempts"] = 2;
+    j["cobaltshift"] = {{"epoch", 4}, {"trial", {{"bake_ms", 1000}}}};
+    return j;
+}
+json config_on_trial() {
+    json j = config_two();
+    j["settings"]["limits"]["max-attempts"] = 4;
+    return j;
+}
+std::string document_of(const json& j) { return read_config(j).document; }
+
+SnapshotPtr snapshot(std::uint64_t generation, const json& config) {
+    auto s = std::make_shared<Snapshot>();
+    s->generation = generation;
+    s->config = read_config(config);
+    return s;
+}
+
+// A folder of this process, gone with it.
+class TemporaryFolder {
+public:
+    TemporaryFolder()
+        : path(fs::path(testing::TempDir()) / ("recorded-state-" + std::to_string(::getpid()))) {
+        fs::remove_all(path);
+        fs::create_directories(path);
+    }
+    ~TemporaryFolder() { fs::remove_all(path); }
+    const fs::path path;
+};
+
+std::unique_ptr<Keeper> keeper_of(const fs::path& path, const Stamp& now) {
+    store::OpenedFolder opened = store::open_folder(path.string());
+    EXPECT_TRUE(opened.folder) << path << " error " << opened.error;
+    return std::make_unique<Keeper>(std::move(opened.folder), [now] { return now; });
+}
+
+// One record at a time, so that each has the same number every time.
+void settle(Keeper& keeper) {
+    while (!keeper.settled()) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+    EXPECT_EQ(keeper.counts().failed, 0u);
+}
+
+void write_state(const fs::path& path) {
+    const auto keeper = keeper_of(path, kWrittenAt);
+    keeper->recover();
+    Generations generations;
+    generations.committed(snapshot(1, config_one()), Generations::Source::start, 0, {}, 1000.5);
+    generations.committed(snapshot(2, config_two()), Generations::Source::operators, 0, {}, 2000.25);
+    generations.committed(snapshot(3, config_on_trial()), Generations::Source::operators, 0, {1000, 0.05, 10},
+                          3000);
+    keeper->keep_config(generations, document_of(config_one())), settle(*keeper);
+    const json list = {{"seq", 77},
+                       {"whole", true},
+                       {"hosts", {host("s1", "127.0.0.1:5"), host("s2", "[::1]:6", "DRAINING")}}};
+    keeper->keep_world(read_hosts(list), kDiscovery, {{"s1", 0, 8000.5, 0.375}, {"s2", 0, 0, 0.25}});
+    settle(*keeper);
+    keeper->lived(), settle(*keeper);
+}
+
+std::map<std::string, std::string> files_of(const fs::path& path) {
+    std::map<std::string, std::string> files;
+    for (const auto& entry : fs::directory_iterator(path)) {
+        std::ifstream file(entry.path(), std::ios::binary);
+        files[entry.path().filename().string()] = {std::istreambuf_iterator<char>(file),
+                                                   std::istreambuf_iterator<char>()};
+    }
+    return files;
+}
+
+TEST(RecordedState, IsWrittenAgainToTheSameFilesAndBytes) {
+    TemporaryFolder folder;
+    write_state(folder.path);
+    const auto written = files_of(folder.path);
+    if (recorded::recording()) {
+        fs::remove_all(recorded::path_of("state"));
+        fs::create_directories(recorded::path_of("state"));
+        for (const auto& [name, bytes] : written) recorded::write("state/" + name, bytes);
+    }
+    const auto before = files_of(recorded::path_of("state"));
+    EXPECT_EQ(before.size(), 4u) << "config, world, and that a life began and lasted";
+    EXPECT_EQ(written, before);
+}
+
+// A copy of the recorded folder: recovering writes to it.
+struct RecoveredState : testing::Test {
+    RecoveredState() {
+        fs::copy(recorded::path_of("state"), folder.path, fs::copy_options::recursive);
+        keeper = keeper_of(folder.path, {kWrittenAt.wall + kLater, kWrittenAt.up + kLater, "boot-a"});
+        recovered = keeper->recover();
+    }
+    TemporaryFolder folder;
+    std::unique_ptr<Keeper> keeper;
+    Recovered recovered;
+};
+
+TEST_F(RecoveredState, HasTheConfigurationThatWasGood) {
+    ASSERT_TRUE(recovered.good);
+    EXPECT_EQ(recovered.good->dump(), document_of(config_two()));
+    EXPECT_EQ(recovered.file, document_of(config_one()));
+    EXPECT_EQ(recovered.next, 4u);
+    EXPECT_TRUE(recovered.trial_lost);
+    EXPECT_FALSE(recovered.loop);
+    ASSERT_EQ(recovered.kept.size(), 2u);
+    EXPECT_EQ(recovered.kept[0].number(), 1u);
+    EXPECT_EQ(recovered.kept[0].content, 1u);
+    EXPECT_EQ(recovered.kept[0].at, 1000.5);
+    EXPECT_EQ(recovered.kept[0].snapshot->config.document, document_of(config_one()));
+    EXPECT_EQ(recovered.kept[1].number(), 2u);
+    EXPECT_EQ(recovered.kept[1].content, 2u);
+    EXPECT_EQ(recovered.kept[1].at, 2000.25);
+    EXPECT_EQ(recovered.kept[1].snapshot->config.document, document_of(config_two()));
+    for (const auto& entry : recovered.kept) {
+        EXPECT_EQ(entry.source, Generations::Source::recovery);
+        EXPECT_EQ(entry.state, Generations::State::good);
+        EXPECT_EQ(entry.note, "from an earlier life");
+    }
+}
+
+TEST_F(RecoveredState, HasTheListAndWhatWasLearntAged) {
+    ASSERT_TRUE(recovered.list);
+    EXPECT_EQ(recovered.discovery, kDiscovery);
+    EXPECT_EQ(recovered.list->seq, 77u);
+    EXPECT_TRUE(recovered.list->whole);
+    ASSERT_EQ(recovered.list->hosts.size(), 2u);
+    const Host &first = recovered.list->hosts[0], &second = recovered.list->hosts[1];
+    EXPECT_EQ(first.name, "s1");
+    EXPECT_EQ(text_of(first.dial), "127.0.0.1:5");
+    EXPECT_EQ(first.zone, "a");
+    EXPECT_EQ(first.cell, 0u);
+    EXPECT_EQ(first.phase, Phase::on);
+    EXPECT_EQ(first.born, 0);
+    EXPECT_EQ(first.units, 1);
+    EXPECT_EQ(second.name, "s2");
+    EXPECT_EQ(text_of(second.dial), "[::1]:6");
+    EXPECT_EQ(second.phase, Phase::fading);
+    ASSERT_EQ(recovered.learnt.size(), 2u);
+    EXPECT_EQ(recovered.learnt[0].name, "s1");
+    EXPECT_EQ(recovered.learnt[0].born, 0);
+    EXPECT_EQ(recovered.learnt[0].removed_for, 8000.5 - kLater);
+    EXPECT_EQ(recovered.learnt[0].pace, 0.375);
+    EXPECT_EQ(recovered.learnt[1].name, "s2");
+    EXPECT_EQ(recovered.learnt[1].pace, 0.25);
+}
+
+// Read, not set aside: what was there is there still, and the new life is counted.
+TEST_F(RecoveredState, LeavesTheRecordedFilesAndCountsTheLife) {
+    keeper.reset();
+    auto after = files_of(folder.path);
+    for (const auto& [name, bytes] : files_of(recorded::path_of("state")))
+        EXPECT_EQ(after[name], bytes) << name;
+    ASSERT_EQ(after.size(), 5u);
+    const store::OpenedFolder opened = store::open_folder(folder.path.string());
+    store::Store store(*opened.folder, [](const std::string&) {});
+    const auto counted = store.load("starts", [](const store::Record&) { return std::string(); });
+    ASSERT_TRUE(counted);
+    EXPECT_EQ(counted->payload, R"({"starts":1})");
+    EXPECT_EQ(counted->sequence, 5u);
+}
+
+}  // namespace
+}  // namespace kelplb::net
