--- /dev/null
+++ b/tests/recorded_http_test.cpp
@@ -0,0 +1,244 @@
+// The bytes on the sidecar's connections as recorded in tests/recorded/http: what it sends to a server, to a
+// client and to discovery. Only what differs from run to run is masked: the time that is left, in
+// microseconds, how long a watch may wait, and the advice of a refusal.
+#include <regex>
+
+#include "net_rig.hpp"
+#include "recorded.hpp"
+
+namespace kelplb::net {
+namespace {
+
+const std::string kNowhere = "127.0.0.1:1";
+
+std::string masked(std::string text) {
+    const std::pair<const char*, const char*> masks[] = {
+        {"X-Time-Left: [0-9]{7,8}u\r\n", "X-Time-Left: <time>u\r\n"},
+        {"wait_ms=(1[0-9]{3}|2000) ", "wait_ms=<1000 to 2000> "},
+        {"Retry-After: [01]\\.[0-9]{3}\r\n", "Retry-After: <seconds>\r\n"}};
+    for (const auto& [pattern, instead] : masks)
+        text = std::regex_replace(text, std::regex(pattern), instead);
+    return text;
+}
+
+void expect_recorded(const std::string& name, const std::string& bytes) {
+    recorded::expect_same("http/" + name + ".txt", masked(bytes));
+}
+
+// One whole message as it came, by its length; less if the other side ends. Not more than one may be on its
+// way.
+std::string read_bytes(Wire& wire) {
+    const std::regex length("\r\nContent-Length: ([0-9]+)\r\n");
+    std::string all;
+    for (std::size_t whole = std::string::npos; all.size() < whole;) {
+        char bytes[4096];
+        const auto n = ::recv(wire.socket.native_handle(), bytes, sizeof bytes, 0);
+        if (n <= 0) break;
+        all.append(bytes, static_cast<std::size_t>(n));
+        const auto end = all.find("\r\n\r\n");
+        if (end == std::string::npos) continue;
+        std::smatch found;
+        const std::string head = all.substr(0, end + 2);
+        whole = end + 4 + (std::regex_search(head, found, length) ? std::stoul(found[1]) : 0);
+    }
+    return all;
+}
+
+// Takes each request as it comes and answers it with the same text; none: it never answers.
+class ByteServer {
+public:
+    explicit ByteServer(std::string answer)
+        : answer_(std::move(answer)), acceptor_([this](Wire& wire) {
+              for (std::string request; !(request = read_bytes(wire)).empty();) {
+                  {
+                      std::lock_guard lock(mutex_);
+                      seen_.push_back(request);
+                  }
+                  changed_.notify_all();
+                  if (!answer_.empty()) wire.write(answer_);
+              }
+          }) {}
+    std::vector<std::string> wait_for(std::size_t requests) {
+        std::unique_lock lock(mutex_);
+        EXPECT_TRUE(changed_.wait_for(lock, kPatience, [&] { return seen_.size() >= requests; }));
+        return seen_;
+    }
+    std::string at() const { return text_of(acceptor_.at); }
+
+private:
+    const std::string answer_;
+    std::mutex mutex_;
+    std::condition_variable changed_;
+    std::vector<std::string> seen_;
+    Acceptor acceptor_;
+};
+
+std::string joined(const std::vector<std::string>& parts) {
+    std::string all;
+    for (const std::string& part : parts) all += part;
+    return all;
+}
+
+// The answer, and where it is the last one all that comes before the end.
+std::string ask(const tcp::endpoint& at, const std::string& request) {
+    App app(at);
+    app.wire.write(request);
+    std::string answer = read_bytes(app.wire);
+    if (answer.find("\r\nConnection: close\r\n") != std::string::npos) answer += app.wire.rest();
+    return answer;
+}
+
+const std::string kFine =
+    "HTTP/1.1 200 Fine by me\r\nX-Served-By: s1\r\nContent-Type: text/plain\r\nSet-Cookie: a=b\r\n"
+    "Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nContent-Length: 4\r\n\r\nfine";
+const std::string kGet =
+    "GET /listen/3?sid=7f HTTP/1.1\r\nHost: api\r\nX-Correlation-Id: 9b1f-1\r\nX-Service-Class: listen\r\n"
+    "X-Time-Left: 25000m\r\naccept: text/plain\r\nX-Weight-Hint: 1.5\r\nConnection: keep-alive, X-Hop\r\n"
+    "X-Hop: 1\r\nTE: trailers\r\n\r\n";
+const std::string kPostHead =
+    "POST /deposit?sid=7f HTTP/1.1\r\nHost: api\r\nX-Correlation-Id: 9b1f-2\r\nX-Service-Class: deposit\r\n";
+const std::string kPost =
+    kPostHead + "X-Time-Left: 25000m\r\nContent-Type: text/plain\r\nContent-Length: 9\r\n\r\ntwo words";
+const std::string kPostByKey =
+    "POST /annotate HTTP/1.1\r\nHost: api\r\nX-Correlation-Id: 9b1f-3\r\nX-Service-Class: annotate\r\n"
+    "X-Time-Left: 25000000u\r\nIdempotency-Key: 5c0f\r\nTransfer-Encoding: chunked\r\n\r\n"
+    "4\r\ntwo \r\n5\r\nwords\r\n0\r\n\r\n";
+
+// ---- Requests that are forwarded --------------------------------------------------------------------------
+
+struct Exchange {
+    const char* name;
+    std::string request, answer;  // the client's, and the server's
+};
+void PrintTo(const Exchange& exchange, std::ostream* out) { *out << exchange.name; }
+
+class RecordedExchange : public testing::TestWithParam<Exchange> {};
+
+TEST_P(RecordedExchange, HasTheSameBytesToServerAndClient) {
+    const Exchange& exchange = GetParam();
+    ByteServer server(exchange.answer);
+    Running sidecar(a_config(kNowhere, {host("s1", server.at())}));
+    const std::string answer = ask(sidecar.at, exchange.request);
+    expect_recorded(std::string(exchange.name) + "-to-client", answer);
+    expect_recorded(std::string(exchange.name) + "-to-server", joined(server.wait_for(1)));
+}
+
+std::string replaced(std::string text, const std::string& what, const std::string& with) {
+    const auto at = text.find(what);
+    EXPECT_NE(at, std::string::npos) << what;
+    return at == std::string::npos ? text : text.replace(at, what.size(), with);
+}
+
+INSTANTIATE_TEST_SUITE_P(
+    All, RecordedExchange,
+    testing::Values(
+        Exchange{"get", kGet, kFine}, Exchange{"post", kPost, kFine},
+        Exchange{"post_by_key_in_chunks", kPostByKey, kFine},
+        Exchange{"last_of_its_connection", replaced(kGet, "keep-alive, X-Hop", "close"), kFine},
+        Exchange{
+            "answer_in_chunks", kPost,
+            "HTTP/1.1 200 OK\r\nX-Served-By: s1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n\r\n"},
+        Exchange{"answer_created", kPost, "HTTP/1.1 201 Created\r\nContent-Length: 4\r\n\r\nmade"},
+        Exchange{"answer_without_body", kPost, "HTTP/1.1 204 No Content\r\n\r\n"},
+        Exchange{"answer_unavailable", kPost,
+                 "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 4\r\n\r\nfull"},
+        Exchange{"answer_not_found", kPost, "HTTP/1.1 404 Not Found\r\nContent-Length: 4\r\n\r\nnone"},
+        Exchange{"answer_error", kPost, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 3\r\n\r\nbad"},
+        Exchange{"answer_unreadable", kPost, "ICY 200 OK\r\nContent-Length: 4\r\n\r\nfine"},
+        Exchange{"answer_turned_away", kPost,
+                 "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"}),
+    [](const auto& info) { return std::string(info.param.name); });
+
+// ---- Answers of the sidecar's own -------------------------------------------------------------------------
+
+struct Misfit {
+    const char* name;
+    std::string request;
+    const char* status;  // of the answer
+};
+void PrintTo(const Misfit& misfit, std::ostream* out) { *out << misfit.name; }
+
+class RecordedMisfit : public testing::TestWithParam<Misfit> {};
+
+TEST_P(RecordedMisfit, GetsTheSameBytes) {
+    Running sidecar(a_config(kNowhere, {host("s1", kNowhere)}));
+    const std::string answer = ask(sidecar.at, GetParam().request);
+    EXPECT_EQ(answer.substr(0, 13), std::string("HTTP/1.1 ") + GetParam().status + " ");
+    expect_recorded(std::string("misfit-") + GetParam().name, answer);
+}
+
+INSTANTIATE_TEST_SUITE_P(
+    All, RecordedMisfit,
+    testing::Values(
+        Misfit{"no_class", replaced(kGet, "X-Service-Class: listen\r\n", ""), "400"},
+        Misfit{"unknown_class", replaced(kGet, "X-Service-Class: listen", "X-Service-Class: x"), "400"},
+        Misfit{"no_name", replaced(kGet, "X-Correlation-Id: 9b1f-1\r\n", ""), "400"},
+        Misfit{"time_without_unit", replaced(kGet, "25000m", "25000"), "400"},
+        Misfit{"no_key", replaced(kPostByKey, "Idempotency-Key: 5c0f\r\n", ""), "400"},
+        Misfit{"body_behind_a_fault", replaced(kPost, "25000m", "x"), "400"},
+        Misfit{"noise", "\x01\x02 noise\r\n\r\n", "400"},
+        Misfit{"method_of_the_class", replaced(kGet, "GET", "POST"), "405"},
+        Misfit{"unknown_method", replaced(kGet, "GET", "DELETE"), "405"},
+        Misfit{"half_a_request", kPostHead, "408"},
+        Misfit{"long_body", replaced(kPost, "Content-Length: 9", "Content-Length: 70000"), "413"},
+        Misfit{"long_head", replaced(kGet, "X-Hop: 1", "X-Hop: " + std::string(17000, 'h')), "431"},
+        Misfit{"older_protocol", replaced(kGet, "HTTP/1.1", "HTTP/1.0"), "505"}),
+    [](const auto& info) { return std::string(info.param.name); });
+
+const std::string kHealth = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
+
+TEST(RecordedAnswers, OfHealthAreTheSameBytes) {
+    Running ready(a_config(kNowhere, {host("s1", kNowhere)}));
+    expect_recorded("health-ready", ask(ready.at, kHealth));
+    json config = a_config(kNowhere, {});
+    config.erase("known");
+    Running unready(config);
+    expect_recorded("health-not-ready", ask(unready.at, kHealth));
+}
+
+TEST(RecordedAnswers, WhereNoServerCanBeReachedAreTheSameBytes) {
+    Running sidecar(a_config(kNowhere, {host("s1", kNowhere)}));
+    const std::string answer = ask(sidecar.at, replaced(kPost, "25000m", "300m"));
+    expect_recorded("no-server-to-client", answer);
+}
+
+TEST(RecordedAnswers, WhereTheServerIsSilentAreTheSameBytes) {
+    ByteServer silent("");
+    Running sidecar(a_config(kNowhere, {host("s1", silent.at())}));
+    expect_recorded("silent-server-to-client", ask(sidecar.at, replaced(kPost, "25000m", "300m")));
+}
+
+TEST(RecordedAnswers, ToANameThatIsInUseAreTheSameBytes) {
+    ByteServer silent("");
+    Running sidecar(a_config(kNowhere, {host("s1", silent.at())}));
+    App first(sidecar.at);
+    first.wire.write(kPost);
+    silent.wait_for(1);
+    expect_recorded("name-in-use-to-client", ask(sidecar.at, kPost));
+}
+
+// ---- Calls to discovery -----------------------------------------------------------------------------------
+
+std::string list_answer() {
+    const std::string body = json{{"seq", 17}, {"whole", true}, {"hosts", {host("s1", kNowhere)}}}.dump();
+    return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+}
+
+TEST(RecordedDiscovery, IsAskedForTheWholeListAndThenWatchedInTheSameBytes) {
+    ByteServer discovery(list_answer());
+    json config = a_config(discovery.at(), {});
+    config.erase("known");
+    Running sidecar(config);
+    const auto calls = discovery.wait_for(2);
+    expect_recorded("discovery-first-call", calls.at(0));
+    expect_recorded("discovery-watch", calls.at(1));
+}
+
+TEST(RecordedDiscovery, IsWatchedFromTheKnownListInTheSameBytes) {
+    ByteServer discovery("");
+    Running sidecar(a_config(discovery.at(), {host("s1", kNowhere)}));
+    expect_recorded("discovery-watch-from-known", discovery.wait_for(1).at(0));
+}
+
+}  // namespace
+}  // namespace kelplb::net
