--- a/bench/module_bench.cpp
+++ b/bench/module_bench.cpp
@@ -12,28 +12,28 @@
 struct Bench {
     explicit Bench(std::size_t servers) : balancer(settings(), 7) {
         balancer.handle(now, Started{}, actions);
-        ServerList list{ListKind::full, {}};
+        EndpointUpdate list{EndpointUpdateKind::full, {}};
         for (std::size_t i = 0; i < servers; ++i) {
-            ServerInfo info;
-            info.id = static_cast<ServerId>(i * 2654435761u);
+            Endpoint info;
+            info.id = static_cast<EndpointId>(i * 2654435761u);
             info.zone = static_cast<ZoneId>(i % 3);
-            list.servers.push_back(info);
+            list.endpoints.push_back(info);
         }
         balancer.handle(now, list, actions);
-        some = list.servers[servers / 2];
+        some = list.endpoints[servers / 2];
         for (int i = 0; i < 500; ++i) request(i % 10 != 0);
     }
     static Settings settings() {
         Settings s;
         for (const double worth : {1.0, 2.0, 5.0}) {
             RequestClass c;
-            c.effect = Effect::repeatable;
-            c.aim = 400;
-            c.worth = worth;
+            c.idempotency = Idempotency::idempotent;
+            c.latency_objective = 400;
+            c.priority_weight = worth;
             s.classes.push_back(c);
         }
-        s.siblings = 350, s.my_number = 111;
-        s.may_tell = true;
+        s.sidecar_count = 350, s.sidecar_index = 111;
+        s.gossip_allowed = true;
         return s;
     }
     // It arrives, goes to a server and is answered, or has failed and is tried again.
@@ -46,9 +46,9 @@
         give(arrived);
         for (std::uint32_t attempt = 0; attempt < sent; ++attempt) {
             AttemptEnded ended{last, attempt};
-            ended.outcome = good || attempt > 0 ? Outcome::completed : Outcome::errored;
+            ended.outcome = good || attempt > 0 ? Outcome::success : Outcome::server_error;
             ended.duration = 40;
-            ended.request_ended = ended.outcome == Outcome::completed;
+            ended.request_ended = ended.outcome == Outcome::success;
             now += 40;
             give(ended);
         }
@@ -58,7 +58,7 @@
         balancer.handle(now, event, actions);
         if (std::holds_alternative<RequestArrived>(event)) sent = 0;
         for (const Action& a : actions) {
-            sent += std::holds_alternative<Send>(a);
+            sent += std::holds_alternative<SendAttempt>(a);
             if (const auto* timer = std::get_if<SetTimer>(&a)) due.push_back(*timer);
         }
         if (due.size() < 1000) return;
@@ -70,7 +70,7 @@
     Millis now = 100000;
     RequestId last = 0;
     std::uint32_t sent = 0;
-    ServerInfo some;
+    Endpoint some;
     std::vector<Action> actions;
     std::vector<SetTimer> due;
 };
@@ -88,8 +88,9 @@
 void list_change(benchmark::State& state) {
     Bench bench(static_cast<std::size_t>(state.range(0)));
     for (auto _ : state) {
-        bench.some.phase = bench.some.phase == Phase::on ? Phase::fading : Phase::on;
-        bench.give(ServerList{ListKind::incremental, {bench.some}});
+        bench.some.state =
+            bench.some.state == EndpointState::serving ? EndpointState::draining : EndpointState::serving;
+        bench.give(EndpointUpdate{EndpointUpdateKind::incremental, {bench.some}});
     }
 }
 
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -79,7 +79,7 @@
 enum class Standing { live, removed, trial };
 
 struct Server {
-    ServerInfo info;
+    Endpoint info;
     bool listed = true;
     int outstanding = 0;
     Standing standing = Standing::live;
@@ -95,12 +95,12 @@
     bool reached = true;            // its last connection came up
     bool by_hearsay = false;        // removed on the word of others
     bool shut = false;              // on the others' lists: nothing new goes to it
-    FleetEvidence fleet{};          // theirs
+    EndpointEvidence fleet{};       // theirs
     std::vector<RequestId> askers;  // requests that await a probe of it
 };
 
 struct Attempt {
-    ServerId server = 0;
+    EndpointId server = 0;
     ZoneId zone = 0;
     std::uint32_t cell = 0;
     Millis sent_at = 0;
@@ -133,7 +133,7 @@
             if (a.may_have_run) return &a;
         return nullptr;
     }
-    bool tried(ServerId server) const {
+    bool tried(EndpointId server) const {
         return std::any_of(attempts.begin(), attempts.end(),
                            [&](const Attempt& a) { return a.server == server; });
     }
@@ -153,7 +153,7 @@
     Random random;
     Millis now = 0;
     std::vector<Action>* actions = nullptr;
-    std::map<ServerId, Server> servers;
+    std::map<EndpointId, Server> servers;
     std::vector<Server*> open;                        // those listed and on, by number: nobody else is drawn
     double open_units = 0;                            // their sizes together
     std::unordered_map<RequestId, Request> requests;  // never iterated
@@ -180,7 +180,7 @@
 
     // ---- The rules: the only gates ----------------------------------------------------------------------
 
-    bool in_scope(const Request& r, const Attempt& a, const ServerInfo& s) const {
+    bool in_scope(const Request& r, const Attempt& a, const Endpoint& s) const {
         switch (r.kind.dedup_scope) {
             case DedupScope::all:
                 return true;
@@ -195,11 +195,14 @@
     bool may_send(const Request& r, Server& s) {
         if (r.ended || r.streaming || now >= r.deadline) return false;  // rule 1
         if (r.attempts.size() >= r.settings->max_attempts) return false;
-        if (!s.listed || s.info.phase != Phase::on) return false;  // rule 3
-        if (r.any_out() && (!r.settings->parallel_tries || r.kind.effect == Effect::once)) return false;
-        if (r.kind.effect == Effect::once && r.first_possible_run()) return false;  // rule 2
+        if (!s.listed || s.info.state != EndpointState::serving) return false;  // rule 3
+        if (r.any_out() &&
+            (!r.settings->hedging_allowed || r.kind.idempotency == Idempotency::not_idempotent))
+            return false;
+        if (r.kind.idempotency == Idempotency::not_idempotent && r.first_possible_run())
+            return false;  // rule 2
         if (now >= repeats_end(r)) return false;
-        if (r.kind.effect == Effect::by_key)
+        if (r.kind.idempotency == Idempotency::idempotent_with_key)
             for (const Attempt& a : r.attempts)
                 if (a.may_have_run && !in_scope(r, a, s.info)) return false;
         return !is_cold(s) || random.unit() < cold_share(s);  // rule 4
@@ -208,14 +211,15 @@
     bool may_refuse(const Request& r) const {
         const Attempt* first = r.first_possible_run();
         if (r.ended || r.streaming) return false;
-        if (!first || r.kind.effect == Effect::repeatable) return true;
-        return r.kind.effect == Effect::by_key && r.kind.dedup_scope == DedupScope::all &&
-               now < repeats_end(r);
+        if (!first || r.kind.idempotency == Idempotency::idempotent) return true;
+        return r.kind.idempotency == Idempotency::idempotent_with_key &&
+               r.kind.dedup_scope == DedupScope::all && now < repeats_end(r);
     }
 
     // Until then servers know a key that may have reached them, also where a repeat is written late.
     static Millis repeats_end(const Request& r) {
-        const Attempt* first = r.kind.effect == Effect::by_key ? r.first_possible_run() : nullptr;
+        const Attempt* first =
+            r.kind.idempotency == Idempotency::idempotent_with_key ? r.first_possible_run() : nullptr;
         if (!first) return std::numeric_limits<Millis>::infinity();
         const Millis window = r.kind.dedup_window;
         return first->sent_at + window - std::min(kHeldUp, window * kHeldUpShare);
@@ -226,18 +230,18 @@
     // over any number of sidecars, where a floor or a bucket in each would be a flood from a thousand. The
     // lot shrinks by our share of attempts that complete: a storm of retries is many times what servers do.
     bool is_cold(const Server& s) const {
-        return settings->warm_within > 0 && s.info.online_since > 0 &&
-               now < s.info.online_since + settings->warm_within;
+        return settings->slow_start_duration > 0 && s.info.started_at > 0 &&
+               now < s.info.started_at + settings->slow_start_duration;
     }
     double warmth(const Server& s) const {
         if (!is_cold(s)) return 1;
-        const double age = std::max(0.0, now - s.info.online_since) / settings->warm_within;
-        return settings->cold_from + (1 - settings->cold_from) * std::min(1.0, age);
+        const double age = std::max(0.0, now - s.info.started_at) / settings->slow_start_duration;
+        return settings->slow_start_least_share + (1 - settings->slow_start_least_share) * std::min(1.0, age);
     }
     double cold_share(const Server& s) const {
         // While its answers come in time, more than it is sure to bear: most warm up sooner.
         const bool eager = s.pace > 0 && s.pace <= kAimShare;
-        const double feed = eager ? std::max(1.0, kFeed * settings->fall_multiple) : 1;
+        const double feed = eager ? std::max(1.0, kFeed * settings->slow_start_overload_factor) : 1;
         return feed * warmth(s) * served;
     }
 
@@ -245,7 +249,7 @@
     double capacity() const {
         double all = 0;
         for (const auto& [id, s] : servers)
-            if (s.listed && s.info.phase == Phase::on) all += s.info.units * warmth(s);
+            if (s.listed && s.info.state == EndpointState::serving) all += s.info.capacity_weight * warmth(s);
         return all;
     }
     // Whoever leaves the pool leaves its load to the others, and no answer shows it yet: the room shrinks
@@ -257,10 +261,10 @@
     // for all: it meets no others.
     void reach(Server& s, bool reached) {
         if (s.reached == reached) return;
-        double others = 0, own = s.info.units * warmth(s);
+        double others = 0, own = s.info.capacity_weight * warmth(s);
         for (const Server* other : subset())
             if (other != &s && other->reached && other->standing == Standing::live)
-                others += other->info.units * warmth(*other);
+                others += other->info.capacity_weight * warmth(*other);
         s.reached = reached;
         if (!reached) shrink_room(others + own, others);
     }
@@ -268,7 +272,7 @@
     // ---- Membership -------------------------------------------------------------------------------------
 
     void on(const Started&) {
-        if (settings->list_on_request) act(Subscribe{true});
+        if (settings->polled_discovery) act(SubscribeEndpoints{true});
     }
 
     void on(const SettingsChanged& e) {
@@ -276,39 +280,39 @@
         try {
             validate(*e.settings);
         } catch (const std::invalid_argument& error) {
-            return act(Log{error.what(), {}});
+            return act(LogMessage{error.what(), {}});
         }
-        const bool subscribe = e.settings->list_on_request && !settings->list_on_request;
+        const bool subscribe = e.settings->polled_discovery && !settings->polled_discovery;
         settings = e.settings;
-        if (!settings->share)
+        if (!settings->evidence_shared)
             for (auto& [id, s] : servers) s.fleet = {}, s.shut = false;
-        if (subscribe) act(Subscribe{true});
+        if (subscribe) act(SubscribeEndpoints{true});
         release_held();  // our part of the room may have grown
     }
 
     // Four times ask_within after a call that failed what is not heard counts as heard: a pause, half as long
     // again at most, leaves half of that time to the call.
     Millis longest_resubscribe() const {
-        if (settings->ask_within <= 0) return kLongestResubscribe;
-        return std::min(kLongestResubscribe, settings->ask_within * 4 / 3);
+        if (settings->poll_interval <= 0) return kLongestResubscribe;
+        return std::min(kLongestResubscribe, settings->poll_interval * 4 / 3);
     }
 
-    void on(const ServerList& list) {
-        if (list.kind == ListKind::failed) {
+    void on(const EndpointUpdate& list) {
+        if (list.kind == EndpointUpdateKind::failed) {
             // The list is one service for all: come back later and not in step with the others.
             set_timer(now + std::min(resubscribe, longest_resubscribe()) * (0.5 + random.unit()),
                       std::nullopt);
             resubscribe = std::min(resubscribe * 2, longest_resubscribe());
             return;
         }
-        if (list.kind != ListKind::saved) resubscribe = kResubscribe;
+        if (list.kind != EndpointUpdateKind::cached) resubscribe = kResubscribe;
         const double before = capacity();
-        if (list.kind != ListKind::incremental)
+        if (list.kind != EndpointUpdateKind::incremental)
             for (auto& [id, s] : servers) s.listed = false;
-        for (const ServerInfo& info : list.servers) learn(info);
+        for (const Endpoint& info : list.endpoints) learn(info);
         note_open();
         if (told) shrink_room(before, capacity());  // what a saved list said is no measure of the load
-        told |= list.kind != ListKind::saved;
+        told |= list.kind != EndpointUpdateKind::cached;
         for (auto it = servers.begin(); it != servers.end();) forget_gone(it++);
         release_held();
     }
@@ -317,49 +321,51 @@
     void note_open() {
         open.clear(), open_units = 0;
         for (auto& [id, s] : servers)
-            if (s.listed && s.info.phase == Phase::on) open.push_back(&s), open_units += s.info.units;
+            if (s.listed && s.info.state == EndpointState::serving)
+                open.push_back(&s), open_units += s.info.capacity_weight;
     }
 
     // A server that goes must not take along the requests that await its probe.
-    void forget_gone(std::map<ServerId, Server>::iterator at) {
+    void forget_gone(std::map<EndpointId, Server>::iterator at) {
         if (at->second.listed || at->second.outstanding > 0) return;
         const std::vector<RequestId> askers = std::move(at->second.askers);
         servers.erase(at);
         for (const RequestId id : askers) probed(id, nullptr);
     }
 
-    void learn(const ServerInfo& info) {
+    void learn(const Endpoint& info) {
         const auto [it, fresh] = servers.try_emplace(info.id);
         Server& s = it->second;
-        if (fresh || info.online_since > s.info.online_since) {
+        if (fresh || info.started_at > s.info.started_at) {
             s.standing = Standing::live;  // another process under the same name: its record starts anew
             s.window = 0, s.filled = 0;
             s.good = s.bad = 0, s.said_crowded = s.shut = false, s.fleet = {}, s.reached = true;
         }
         s.info = info;
-        if (!(s.info.units > 0)) s.info.units = 1;  // nonsense: as if unknown
-        s.listed = info.phase != Phase::off;
+        if (!(s.info.capacity_weight > 0)) s.info.capacity_weight = 1;  // nonsense: as if unknown
+        s.listed = info.state != EndpointState::gone;
     }
 
     // A removal that was under way goes on, within the panic threshold and for no more than a whole backoff:
     // what comes from a disk gives way to what this life has seen.
-    void on(const Recalled& e) {
-        for (const Learnt& l : e.learnt) {
-            const auto at = servers.find(l.server);
+    void on(const StateRestored& e) {
+        for (const EndpointSnapshot& l : e.endpoints) {
+            const auto at = servers.find(l.endpoint);
             if (at == servers.end()) continue;
             Server& s = at->second;
             if (s.filled > 0 || s.outstanding > 0 || s.standing != Standing::live) continue;
-            if (l.pace > 0 && std::isfinite(l.pace)) s.pace = std::min(1.5, l.pace);
-            if (!(l.removed_for > 0) || !may_remove(false)) continue;
+            if (l.latency_ratio > 0 && std::isfinite(l.latency_ratio))
+                s.pace = std::min(1.5, l.latency_ratio);
+            if (!(l.ejected_for > 0) || !may_remove(false)) continue;
             remove(s);
-            s.backoff_until = now + std::min(kBackoff, l.removed_for);
+            s.backoff_until = now + std::min(kBackoff, l.ejected_for);
         }
     }
 
     // One whose backoff is over but whose trial has not come yet, or is out, stays removed for a moment: the
     // next life tries it as this one would have.
-    std::vector<Learnt> learnt() const {
-        std::vector<Learnt> all;
+    std::vector<EndpointSnapshot> learnt() const {
+        std::vector<EndpointSnapshot> all;
         for (const auto& [id, s] : servers) {
             const bool out = s.standing != Standing::live;
             if (s.listed && (out || s.pace > 0))
@@ -371,8 +377,8 @@
     // ---- Verdict: window, backoff, trial ----------------------------------------------------------------
 
     void judge(Server& s, const Attempt& a, Outcome outcome, bool late) {
-        const bool success = outcome == Outcome::completed && !late;  // past its aim: as good as timed out
-        const bool verdict = outcome != Outcome::recalled && outcome != Outcome::superseded;
+        const bool success = outcome == Outcome::success && !late;  // past its aim: as good as timed out
+        const bool verdict = outcome != Outcome::cancelled && outcome != Outcome::not_sent;
         if (s.standing == Standing::trial && a.trial) {
             if (!verdict)
                 s.standing = Standing::removed;  // undecided: the next request is the trial
@@ -385,7 +391,7 @@
         if (!verdict || s.standing != Standing::live) return;
         s.window = (s.window << 1 | (success ? 1 : 0)) & ((1u << kWindow) - 1);
         s.filled = std::min(s.filled + 1, kWindow);
-        if (!success && below_threshold(s) && may_remove(late || outcome == Outcome::overdue)) remove(s);
+        if (!success && below_threshold(s) && may_remove(late || outcome == Outcome::timeout)) remove(s);
     }
 
     // Shared slowness makes every server fail, and removing them all makes it an outage. So a server is held
@@ -405,7 +411,7 @@
         std::size_t live = 0, clean = 0;
         for (const auto& [id, other] : servers) {
             if (&other == &s || other.standing != Standing::live) continue;
-            const bool blamed = other.fleet.complaints > 0;
+            const bool blamed = other.fleet.reporters > 0;
             ++live, clean += !blamed;
             good += successes(other), all += other.filled;
             if (!blamed) clean_good += successes(other), clean_all += other.filled;
@@ -434,10 +440,11 @@
     void remove(Server& s, bool by_hearsay = false) {
         s.by_hearsay = by_hearsay;
         if (by_hearsay)
-            act(Log{"removed from the pool on the word of " + std::to_string(s.fleet.witnesses) + " others",
-                    s.info.id});
+            act(LogMessage{"removed from the pool on the word of " +
+                               std::to_string(s.fleet.direct_reporters) + " others",
+                           s.info.id});
         else if (s.standing == Standing::live)
-            act(Log{"removed from the pool", s.info.id});
+            act(LogMessage{"removed from the pool", s.info.id});
         s.standing = Standing::removed;
         s.backoff_until = now + kBackoff;
         if (!by_hearsay) share(s, false);
@@ -446,7 +453,7 @@
     void restore(Server& s) {
         s.standing = Standing::live;
         s.window = 0, s.filled = 0;
-        act(Log{"restored after a trial", s.info.id});
+        act(LogMessage{"restored after a trial", s.info.id});
         s.bad = 0;
         share(s, true);
     }
@@ -457,13 +464,14 @@
     // what it saw of a server that fails, or that others complain of, and judges by the sum as by a window of
     // its own. Its own fresh outcomes go before hearsay, and a backoff and a trial of its own follow.
     void share(Server& s, bool restored) {
-        if (!settings->share) return;
+        if (!settings->evidence_shared) return;
         // What enough others say already need not be said by hundreds; what we said ourselves is kept true.
-        const bool known = restored ? s.fleet.restored >= kWitnesses : s.fleet.witnesses >= 2 * kWitnesses;
+        const bool known =
+            restored ? s.fleet.recoveries >= kWitnesses : s.fleet.direct_reporters >= 2 * kWitnesses;
         if (known && now >= s.shared_at + kBackoff) return;
         s.shared_at = now;
         count(s, 0, 0);
-        act(Share{s.info.id, s.good, s.bad, s.pace, s.standing != Standing::live, restored});
+        act(PublishEvidence{s.info.id, s.good, s.bad, s.pace, s.standing != Standing::live, restored});
     }
     void count(Server& s, double good, double bad) {
         const double left = std::exp((s.counted_at - now) / kRecent);
@@ -474,8 +482,8 @@
         return s.good >= kOwnWord && s.good >= kThreshold * (s.good + s.bad);
     }
     void share_outcome(Server& s, Outcome outcome) {
-        if (outcome == Outcome::recalled || outcome == Outcome::superseded) return;
-        const bool good = outcome == Outcome::completed;
+        if (outcome == Outcome::cancelled || outcome == Outcome::not_sent) return;
+        const bool good = outcome == Outcome::success;
         count(s, good, !good);
         const bool crowded = s.pace > (s.said_crowded ? kOnTime : kOverdue);
         const bool news = crowded != s.said_crowded;
@@ -483,44 +491,44 @@
         const Millis quiet = now - s.shared_at;
         // Where others complain, successes are news too.
         const bool answer =
-            good && s.fleet.complaints > 0 && s.fleet.good < 3 * kWindow && quiet >= kAnswerEvery;
+            good && s.fleet.reporters > 0 && s.fleet.successes < 3 * kWindow && quiet >= kAnswerEvery;
         if (news || answer || (!good && quiet >= kShareEvery) || (crowded && quiet >= kRefresh))
             share(s, false);
     }
 
-    void on(const FleetView& e) {
-        std::map<ServerId, FleetEvidence> said;
-        for (const FleetEvidence& f : e.servers) said[f.server] = f;
+    void on(const FleetEvidence& e) {
+        std::map<EndpointId, EndpointEvidence> said;
+        for (const EndpointEvidence& f : e.endpoints) said[f.endpoint] = f;
         std::size_t closed = 0;
         for (auto& [id, s] : servers) {
-            const bool before = s.fleet.complaints > 0;
+            const bool before = s.fleet.reporters > 0;
             const auto now_said = said.find(id);
-            s.fleet = now_said == said.end() ? FleetEvidence{} : now_said->second;
+            s.fleet = now_said == said.end() ? EndpointEvidence{} : now_said->second;
             // Where the others' lists close a server that ours still has open, nothing new goes to it until
             // ours has come: a tenth of the list at most, as with all hearsay.
-            closed += s.shut = s.listed && s.fleet.closed >= kWitnesses && within_hearsay(closed);
+            closed += s.shut = s.listed && s.fleet.withdrawals >= kWitnesses && within_hearsay(closed);
             // What it did well before the first complaint does not contradict it.
-            if (!before && s.fleet.complaints > 0 && s.bad < 1) s.good = 0;
+            if (!before && s.fleet.reporters > 0 && s.bad < 1) s.good = 0;
         }
         // The worst first: the cap may not let all be removed.
         std::vector<Server*> named;
         for (auto& [id, s] : servers)
-            if (s.listed && s.fleet.complaints + s.fleet.restored > 0) named.push_back(&s);
+            if (s.listed && s.fleet.reporters + s.fleet.recoveries > 0) named.push_back(&s);
         std::stable_sort(named.begin(), named.end(), [](const Server* a, const Server* b) {
-            return a->fleet.witnesses > b->fleet.witnesses;
+            return a->fleet.direct_reporters > b->fleet.direct_reporters;
         });
         for (Server* s : named) heed(*s);
     }
     void heed(Server& s) {
         // Another's success is worth a trial of our own, and no more; not all at once.
-        if (s.standing == Standing::removed && s.fleet.restored > 0 && s.backoff_until > now + kTrialSpread)
+        if (s.standing == Standing::removed && s.fleet.recoveries > 0 && s.backoff_until > now + kTrialSpread)
             s.backoff_until = now + kTrialSpread * random.unit();
-        if (s.standing != Standing::live || s.fleet.complaints == 0) return;
+        if (s.standing != Standing::live || s.fleet.reporters == 0) return;
         if (!vouched_for(s) && convicted(s) && may_remove(false) && may_heed()) remove(s, true);
     }
     bool convicted(const Server& s) const {
-        const std::uint32_t witnesses = s.fleet.witnesses + (s.bad >= 1 ? 1 : 0);
-        const double good = s.fleet.good + s.good, bad = s.fleet.bad + s.bad;
+        const std::uint32_t witnesses = s.fleet.direct_reporters + (s.bad >= 1 ? 1 : 0);
+        const double good = s.fleet.successes + s.good, bad = s.fleet.failures + s.bad;
         const double level = level_without(s), all = std::max<double>(kWindow, good + bad);
         const double noise = std::sqrt(level * (1 - level) / kWindow);
         return witnesses >= kWitnesses && (all - bad) / all < kThreshold * level - 3 * noise;
@@ -552,11 +560,11 @@
         std::vector<Server*> used;
         double left = open.empty() ? 0 : subset_size() * open_units / static_cast<double>(open.size());
         const std::size_t start =
-            open.size() * (settings->my_number % settings->siblings) / settings->siblings;
+            open.size() * (settings->sidecar_index % settings->sidecar_count) / settings->sidecar_count;
         for (std::size_t i = 0; i < open.size() && left > 0; ++i) {
             Server* s = used.emplace_back(open[(start + i) % open.size()]);
             if (s->standing == Standing::live)
-                left -= s->info.units * (is_cold(*s) ? std::min(1.0, cold_share(*s)) : 1);
+                left -= s->info.capacity_weight * (is_cold(*s) ? std::min(1.0, cold_share(*s)) : 1);
         }
         return used;
     }
@@ -577,21 +585,22 @@
         // more from each of many sidecars is a queue.
         bool near_first = false;
         const Settings& own = *r.settings;
-        if (own.fees.cross_zone > 0 && own.my_zone && crowding <= kCrowded) {
+        if (own.fees.cross_zone > 0 && own.local_zone && crowding <= kCrowded) {
             std::vector<Server*> near;
             for (Server* s : live)
-                if (s->info.zone == *own.my_zone) near.push_back(s);
+                if (s->info.zone == *own.local_zone) near.push_back(s);
             if (!near.empty()) first = draw(near, nullptr), near_first = true;
         }
         if (live.size() == 1) return first;
         Server* second = draw(live, first);
         const Server &a = *first, &b = *second;
-        const bool nearer = near_first && b.info.zone != *own.my_zone;
+        const bool nearer = near_first && b.info.zone != *own.local_zone;
         const int grace = nearer && our_part() * own.fees.cross_zone > std::exp(-1 / crowding) ? 1 : 0;
         const double doubt = suspicion(a) - suspicion(b);
         if (a.outstanding == 0 && b.outstanding == 0 && std::abs(doubt) < 1 && should_ask(r)) {
             ++r.asks;
-            for (Server* s : {first, second}) ++r.asked, s->askers.push_back(r.id), act(Probe{s->info.id});
+            for (Server* s : {first, second})
+                ++r.asked, s->askers.push_back(r.id), act(SendProbe{s->info.id});
             return nullptr;
         }
         const bool other =
@@ -606,8 +615,10 @@
     // lost, false or malformed messages do little harm. What comes late is not told of: in a crowd all do.
     double suspicion(const Server& s) const {
         double left = s.suspicion * std::exp((s.suspected_at - now) / kBackoff);
-        if (const FleetEvidence& f = s.fleet; f.witnesses >= kWitnesses)  // how many, and how much they saw
-            left = std::min(kMostDoubt, left + f.witnesses * (f.bad + 1.0) / (f.bad + f.good + 1.0));
+        if (const EndpointEvidence& f = s.fleet;
+            f.direct_reporters >= kWitnesses)  // how many, and how much they saw
+            left = std::min(kMostDoubt, left + f.direct_reporters * (f.failures + 1.0) /
+                                                   (f.failures + f.successes + 1.0));
         return left < kDoubt || !is_thin() ? 0
                                            : left;  // a failure now and then is no reason to load the others
     }
@@ -617,29 +628,29 @@
     }
     void tell(std::uint32_t peers, const std::vector<std::uint8_t>& bytes) {
         for (std::uint32_t i = 0; i < peers; ++i) {
-            const auto peer = static_cast<std::uint32_t>(random.below(settings->siblings));
-            if (peer != settings->my_number) act(TellPeer{peer, bytes});
+            const auto peer = static_cast<std::uint32_t>(random.below(settings->sidecar_count));
+            if (peer != settings->sidecar_index) act(SendGossip{peer, bytes});
         }
     }
-    void tell_failure(ServerId id) {
-        if (!settings->may_tell || settings->share || !is_thin()) return;
+    void tell_failure(EndpointId id) {
+        if (!settings->gossip_allowed || settings->evidence_shared || !is_thin()) return;
         std::vector<std::uint8_t> bytes;
         for (int shift = 24; shift >= 0; shift -= 8) bytes.push_back(static_cast<std::uint8_t>(id >> shift));
-        tell(std::min(settings->siblings / kToldPart, kMostTold), bytes);
+        tell(std::min(settings->sidecar_count / kToldPart, kMostTold), bytes);
     }
     // How crowded the pool is shows in the answers of all sidecars; the few of one are mostly chance, and a
     // room that follows chance refuses what there is room for. So each tells some peers the mean of its last
     // answers' time against their aim, in hundredths.
     void tell_pulse() {
-        if (settings->may_tell && is_thin())
-            tell(std::min(settings->siblings / kPulsePart, kMostPulsed),
+        if (settings->gossip_allowed && is_thin())
+            tell(std::min(settings->sidecar_count / kPulsePart, kMostPulsed),
                  {static_cast<std::uint8_t>(pulse * 100)});
         pulse = 0, pulses = 0;
     }
-    void on(const PeerMessage& e) {
+    void on(const GossipReceived& e) {
         if (e.bytes.size() == 1 && is_thin())
             crowding += (std::min(1.5, e.bytes[0] / 100.0) - crowding) * kPulseWeight;
-        ServerId id = 0;
+        EndpointId id = 0;
         for (const std::uint8_t byte : e.bytes) id = id << 8 | byte;
         const auto at = servers.find(id);
         if (e.bytes.size() == 4 && at != servers.end()) doubt(at->second, 1, 1);
@@ -657,15 +668,15 @@
     bool should_ask(const Request& r) const {
         const bool pays = 2 * r.settings->fees.probe < kRaceGain * (1 - timely);
         const bool doubtful = timely < kEasy && timely > kHopeless && pays;
-        return r.settings->may_probe && is_light() && doubtful && r.asks < kAskRounds;
+        return r.settings->probes_allowed && is_light() && doubtful && r.asks < kAskRounds;
     }
 
     void on(const ProbeEnded& e) {
-        const auto at = servers.find(e.server);
+        const auto at = servers.find(e.endpoint);
         if (at == servers.end() || at->second.askers.empty()) return;
         const RequestId id = at->second.askers.front();
         at->second.askers.erase(at->second.askers.begin());
-        const bool fit = e.outcome == Outcome::completed && at->second.standing == Standing::live;
+        const bool fit = e.outcome == Outcome::success && at->second.standing == Standing::live;
         probed(id, fit ? &at->second : nullptr);
     }
     void probed(RequestId id, Server* fit) {
@@ -683,8 +694,8 @@
     // At random, each with the chance of its registered size: where every queue of ours is empty, the draw
     // alone decides, and equal parts would drown the small servers. What is doubted is drawn the more seldom.
     double chance(const Server& s) const {
-        const bool crowded = s.fleet.paced >= kWitnesses && s.fleet.pace > kOverdue;
-        return s.info.units / ((1 + suspicion(s)) * (1 + suspicion(s))) * (crowded ? 0.5 : 1);
+        const bool crowded = s.fleet.latency_reporters >= kWitnesses && s.fleet.latency_ratio > kOverdue;
+        return s.info.capacity_weight / ((1 + suspicion(s)) * (1 + suspicion(s))) * (crowded ? 0.5 : 1);
     }
     Server* draw(const std::vector<Server*>& from, const Server* except) {
         double total = 0;
@@ -702,13 +713,13 @@
     // against their aim; errors say nothing about crowding, and it only grows while it is used.
     void adapt_room(Server& s, const Request& r, const AttemptEnded& e) {
         double ratio = 1.5;
-        if (e.outcome == Outcome::completed)
-            ratio = std::min(1.5, e.duration / r.kind.aim);
-        else if (e.outcome != Outcome::overdue && e.outcome != Outcome::saturated)
+        if (e.outcome == Outcome::success)
+            ratio = std::min(1.5, e.duration / r.kind.latency_objective);
+        else if (e.outcome != Outcome::timeout && e.outcome != Outcome::overloaded)
             return;
         smooth(s.pace, ratio);
         // One slow by nature, or one that others too get no answer from: it says nothing of the pool.
-        if (is_cold(s) || (e.outcome != Outcome::completed && suspicion(s) > 0)) return;
+        if (is_cold(s) || (e.outcome != Outcome::success && suspicion(s) > 0)) return;
         pulse += ratio / kPulse;
         if (++pulses == kPulse) tell_pulse();
         // Smoothed: one slow answer must not close a light sidecar, which has few others to set against it.
@@ -729,12 +740,13 @@
     // Where slow service alone takes that long, refusing more does not help and idles the servers: one
     // attempt for each server is always allowed, and with many sidecars our part of kFloor.
     double room_floor() const { return our_part() * static_cast<double>(servers.size()); }
-    double our_part() const { return std::min(1.0, kFloor / std::max(1u, settings->siblings)); }
+    double our_part() const { return std::min(1.0, kFloor / std::max(1u, settings->sidecar_count)); }
 
     // Worth: the class worth most may fill the room, the others leave it part of theirs.
     // Less than one place is given by lot: a light sidecar, with one request at a time, sheds by it.
     bool has_room(const Request& r) {
-        const double part = kCommonRoom + (1 - kCommonRoom) * r.kind.worth / r.top_worth * (r.repeat ? 0 : 1);
+        const double part =
+            kCommonRoom + (1 - kCommonRoom) * r.kind.priority_weight / r.top_worth * (r.repeat ? 0 : 1);
         return outstanding < room * part && (room * part >= 1 || random.unit() < room * part);
     }
 
@@ -757,23 +769,24 @@
         if (!fresh) return;
         Request& r = it->second;
         r.id = e.id;
-        r.repeat = e.repeat;
+        r.repeat = e.client_retry;
         r.settings = e.settings && !e.settings->classes.empty() ? e.settings : settings;
         if (e.class_index < r.settings->classes.size()) {
             r.kind = r.settings->classes[e.class_index];
         } else {  // unknown: what we know least about is handled with most care
-            r.kind.effect = Effect::once;
-            r.kind.aim = std::max(1.0, e.time_left);
+            r.kind.idempotency = Idempotency::not_idempotent;
+            r.kind.latency_objective = std::max(1.0, e.time_left);
         }
         r.top_worth = 0;
-        for (const RequestClass& c : r.settings->classes) r.top_worth = std::max(r.top_worth, c.worth);
+        for (const RequestClass& c : r.settings->classes)
+            r.top_worth = std::max(r.top_worth, c.priority_weight);
         if (r.top_worth == 0) r.top_worth = 1;
-        r.kind.aim += r.kind.aim_stretch * std::max(0.0, e.effort);
+        r.kind.latency_objective += r.kind.objective_per_effort * std::max(0.0, e.effort);
         r.deadline = now + std::max(0.0, e.time_left);
         if (arrived_at >= 0) gap > 0 ? smooth(gap, now - arrived_at) : void(gap = now - arrived_at);
         arrived_at = now;
         retry_budget = std::min(retry_budget + kRetryShare, kRetryBurst);
-        r.hold_until = std::min(r.deadline, now + r.kind.aim * kHold);
+        r.hold_until = std::min(r.deadline, now + r.kind.latency_objective * kHold);
         set_timer(r.deadline, r.id);
         place(r);
     }
@@ -786,8 +799,8 @@
         // Nobody may have it now. If one may later, hold it: at hold_until the timer answers.
         if (r.any_out()) return;
         if (r.attempts.size() >= r.settings->max_attempts ||
-            (r.first_possible_run() && r.kind.effect == Effect::once))
-            return finish(r, EndReason::attempts_used);
+            (r.first_possible_run() && r.kind.idempotency == Idempotency::not_idempotent))
+            return finish(r, EndReason::attempts_exhausted);
         if (now >= r.hold_until) return finish(r, EndReason::no_capacity);
         held.push_back(r.id);
         if (r.waiting) return;
@@ -804,10 +817,10 @@
         ++outstanding;
         r.asked = 0, r.asks = 0;
         r.attempts.push_back({s.info.id, s.info.zone, s.info.cell, now, true, true, trial});
-        act(Send{r.id, s.info.id, r.deadline, write_until});
+        act(SendAttempt{r.id, s.info.id, r.deadline, write_until});
     }
 
-    void on(const FirstByte& e) {
+    void on(const ResponseStarted& e) {
         const auto it = requests.find(e.id);
         if (it != requests.end() && e.attempt < it->second.attempts.size()) it->second.streaming = true;
     }
@@ -815,17 +828,17 @@
     void book(Server& s, const Request& r, const Attempt& a, const AttemptEnded& e) {
         --s.outstanding;
         adapt_room(s, r, e);
-        if (e.outcome == Outcome::refused_connection || e.outcome == Outcome::completed)
-            reach(s, e.outcome == Outcome::completed);
-        smooth(served, e.outcome == Outcome::completed ? 1.0 : 0.0);
-        const bool good = e.outcome == Outcome::completed && e.duration <= r.kind.aim;
+        if (e.outcome == Outcome::connect_failure || e.outcome == Outcome::success)
+            reach(s, e.outcome == Outcome::success);
+        smooth(served, e.outcome == Outcome::success ? 1.0 : 0.0);
+        const bool good = e.outcome == Outcome::success && e.duration <= r.kind.latency_objective;
         smooth(timely, good ? 1.0 : 0.0);
-        if (e.outcome == Outcome::completed)
+        if (e.outcome == Outcome::success)
             doubt(s, 0.5, 0);
-        else if (e.outcome != Outcome::recalled && e.outcome != Outcome::superseded)
+        else if (e.outcome != Outcome::cancelled && e.outcome != Outcome::not_sent)
             doubt(s, 1, 1), tell_failure(s.info.id);
-        if (settings->share) share_outcome(s, e.outcome);
-        judge(s, a, e.outcome, e.duration > r.kind.aim && !is_cold(s));
+        if (settings->evidence_shared) share_outcome(s, e.outcome);
+        judge(s, a, e.outcome, e.duration > r.kind.latency_objective && !is_cold(s));
     }
 
     void on(const AttemptEnded& e) {
@@ -841,22 +854,22 @@
             book(at->second, r, a, e);
             // Idle connections of many sidecars fill a server's table: it slows down and then turns new ones
             // away. A light sidecar asks a server again so late that opening one anew costs less.
-            if (at->second.outstanding == 0 && is_light()) act(CloseIdle{a.server});
+            if (at->second.outstanding == 0 && is_light()) act(CloseIdleConnections{a.server});
             forget_gone(at);
         }
         if (e.request_ended) r.ended = true;
         if (r.ended) done.push_back(r.id);
         // Without a retry budget each request asks a crowded pool as often as the limits allow.
         if (now >= r.deadline)
-            finish(r, EndReason::deadline);
+            finish(r, EndReason::deadline_exceeded);
         else if (!r.any_out() && retry_budget < 1)
-            finish(r, EndReason::retry_budget);
+            finish(r, EndReason::retry_budget_exhausted);
         else if (!r.ended && !r.any_out())
             place(r);
         release_held();
     }
 
-    void on(const ClientGone& e) {
+    void on(const ClientDisconnected& e) {
         const auto it = requests.find(e.id);
         if (it == requests.end()) return;
         cancel_all(it->second);
@@ -869,9 +882,9 @@
         if (r.ended || r.streaming) return;
         cancel_all(r);
         if (may_refuse(r))
-            act(Refuse{r.id, advice(r), reason});
+            act(RejectRequest{r.id, advice(r), reason});
         else
-            act(GiveUp{r.id, reason});
+            act(FailRequest{r.id, reason});
         r.ended = true;
         done.push_back(r.id);
     }
@@ -881,16 +894,16 @@
     Millis advice(const Request& r) const {
         Millis first = kBackoff;
         for (const auto& [id, s] : servers) {
-            if (!s.listed || s.info.phase != Phase::on) continue;
-            if (s.standing == Standing::live) return std::max(1.0, crowding * r.kind.aim);
+            if (!s.listed || s.info.state != EndpointState::serving) continue;
+            if (s.standing == Standing::live) return std::max(1.0, crowding * r.kind.latency_objective);
             first = std::min(first, s.backoff_until - now);
         }
         return std::max(1.0, first);
     }
 
     void cancel_all(const Request& r) {
-        for (std::uint32_t i = 0; r.settings->may_cancel && i < r.attempts.size(); ++i)
-            if (r.attempts[i].out) act(Cancel{r.id, i});
+        for (std::uint32_t i = 0; r.settings->cancel_allowed && i < r.attempts.size(); ++i)
+            if (r.attempts[i].out) act(CancelAttempt{r.id, i});
     }
 
     // After each event: what has its answer and nothing out leaves no trace.
@@ -914,11 +927,11 @@
         if (timer == timers.end()) return;
         const std::optional<RequestId> id = timer->second;
         timers.erase(timer);
-        if (!id) return act(Subscribe{true});
+        if (!id) return act(SubscribeEndpoints{true});
         const auto it = requests.find(*id);
         if (it == requests.end() || it->second.ended) return;
         if (now >= it->second.deadline)
-            finish(it->second, EndReason::deadline);
+            finish(it->second, EndReason::deadline_exceeded);
         else if (!it->second.any_out())
             place(it->second);
     }
@@ -937,9 +950,9 @@
     impl_->forget_done();
 }
 
-std::vector<Learnt> Balancer::learnt() const { return impl_->learnt(); }
+std::vector<EndpointSnapshot> Balancer::snapshot() const { return impl_->learnt(); }
 
-Balancer::Held Balancer::held() const {
+Balancer::Usage Balancer::usage() const {
     std::size_t removed = 0;
     for (const auto& [id, s] : impl_->servers) removed += s.listed && s.standing != Standing::live;
     return {impl_->requests.size(), impl_->servers.size(), impl_->timers.size(), removed};
--- a/src/balancer/settings_validation.cpp
+++ b/src/balancer/settings_validation.cpp
@@ -19,17 +19,17 @@
     for (std::size_t i = 0; i < s.classes.size(); ++i) {
         const std::string prefix = "classes[" + std::to_string(i) + "].";
         const RequestClass& c = s.classes[i];
-        check(std::isfinite(c.aim) && c.aim > 0, prefix + "aim");
+        check(std::isfinite(c.latency_objective) && c.latency_objective > 0, prefix + "aim");
         check_amount(c.dedup_window, prefix + "dedup_window");
-        check_amount(c.aim_stretch, prefix + "aim_stretch");
-        check_amount(c.worth, prefix + "worth");
+        check_amount(c.objective_per_effort, prefix + "aim_stretch");
+        check_amount(c.priority_weight, prefix + "worth");
     }
-    check(s.siblings >= 1, "siblings");
+    check(s.sidecar_count >= 1, "siblings");
     check(s.max_attempts >= 1, "max_attempts");
-    check_amount(s.ask_within, "ask_within");
-    check_amount(s.warm_within, "warm_within");
-    check(std::isfinite(s.fall_multiple) && s.fall_multiple >= 1, "fall_multiple");
-    check(s.cold_from >= 0 && s.cold_from <= 1, "cold_from");
+    check_amount(s.poll_interval, "ask_within");
+    check_amount(s.slow_start_duration, "warm_within");
+    check(std::isfinite(s.slow_start_overload_factor) && s.slow_start_overload_factor >= 1, "fall_multiple");
+    check(s.slow_start_least_share >= 0 && s.slow_start_least_share <= 1, "cold_from");
     check_amount(s.fees.cross_zone, "fees.cross_zone");
     check_amount(s.fees.probe, "fees.probe");
 }
--- a/src/common/open_with_retry.hpp
+++ b/src/common/open_with_retry.hpp
@@ -25,7 +25,7 @@
 // Calls `open` until it meets neither a shortage nor an address in use, at the longest for kStartPatience.
 // Blocks: for use before the loop runs. Throws what `open` threw last.
 template <class Open>
-auto open_patiently(Open open) {
+auto open_with_retry(Open open) {
     const auto give_up = std::chrono::steady_clock::now() + kStartPatience;
     for (bool said = false;; said = true) {
         try {
@@ -42,9 +42,9 @@
 // The same for a socket that listens on `at`, which the configuration's `field` names. Throws ConfigError
 // where another process has the address.
 template <class Endpoint, class Open>
-auto listen_patiently(const char* field, const Endpoint& at, Open open) {
+auto listen_with_retry(const char* field, const Endpoint& at, Open open) {
     try {
-        return open_patiently(std::move(open));
+        return open_with_retry(std::move(open));
     } catch (const boost::system::system_error& error) {
         if (error.code() != asio::error::address_in_use) throw;
         std::ostringstream text;
--- a/src/control/config.cpp
+++ b/src/control/config.cpp
@@ -46,7 +46,7 @@
 constexpr double kLongestTime = 1e9;         // in ms, over eleven days: beyond that clocks lose count
 constexpr int kReads = 5;
 
-using Complaints = std::vector<Complaint>;
+using Complaints = std::vector<ValidationError>;
 
 // A place in the JSON that knows its own path, so that a complaint can name it. Complaints are collected and
 // reading goes on with a value of no meaning: whoever asked throws them all in the end.
@@ -58,7 +58,7 @@
     void complain(const std::string& what) const {
         // What has been complained of has no sense that could be complained of again.
         const bool said = std::any_of(complaints_->begin(), complaints_->end(),
-                                      [&](const Complaint& c) { return c.field == path_; });
+                                      [&](const ValidationError& c) { return c.field == path_; });
         if (!said && complaints_->size() < kMostComplaints) complaints_->push_back({path_, what});
     }
     bool has(const std::string& name) const { return child(name).value_ != nullptr; }
@@ -165,22 +165,23 @@
     Complaints* complaints_;
 };
 
-HostList hosts_at(const Field& field) {
-    HostList list;
+EndpointList hosts_at(const Field& field) {
+    EndpointList list;
     list.seq = field["seq"].whole<std::uint64_t>();
-    list.whole = field["whole"].flag();
+    list.complete = field["whole"].flag();
     for (const Field& item : field["hosts"].items()) {
-        Host h;
+        ListedEndpoint h;
         h.name = item["host"].text();
-        h.phase = item["health"].named<Phase>(
-            {{"SERVING", Phase::on}, {"DRAINING", Phase::fading}, {"DELETED", Phase::off}});
+        h.state = item["health"].named<EndpointState>({{"SERVING", EndpointState::serving},
+                                                       {"DRAINING", EndpointState::draining},
+                                                       {"DELETED", EndpointState::gone}});
         // What is gone needs no address any more.
-        if (h.phase != Phase::off || item.has("dial")) h.dial = item["dial"].endpoint<tcp>();
+        if (h.state != EndpointState::gone || item.has("dial")) h.address = item["dial"].endpoint<tcp>();
         if (item.has("site")) h.zone = item["site"].text();
         if (item.has("block")) h.cell = item["block"].whole();
-        if (item.has("born_ms")) h.born = item["born_ms"].number();
-        if (item.has("share")) h.units = item["share"].number();
-        list.hosts.push_back(std::move(h));
+        if (item.has("born_ms")) h.started_at = item["born_ms"].number();
+        if (item.has("share")) h.capacity_weight = item["share"].number();
+        list.endpoints.push_back(std::move(h));
     }
     return list;
 }
@@ -195,16 +196,17 @@
         if (item.has("name") && c.class_index(name) < c.classes.size())
             item["name"].complain("is the name of another class too");
         c.classes.push_back(std::move(name));
-        r.effect = item["effect"].named<Effect>(
-            {{"repeatable", Effect::repeatable}, {"by_key", Effect::by_key}, {"once", Effect::once}});
+        r.idempotency = item["effect"].named<Idempotency>({{"repeatable", Idempotency::idempotent},
+                                                           {"by_key", Idempotency::idempotent_with_key},
+                                                           {"once", Idempotency::not_idempotent}});
         if (item.has("dedup-scope"))
             r.dedup_scope = item["dedup-scope"].named<DedupScope>(
                 {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}});
         if (item.has("dedup-window-ms")) r.dedup_window = item["dedup-window-ms"].time();
-        r.aim = item["on-time-ms"].time();
-        if (item.has("on-time-ms") && r.aim == 0) item["on-time-ms"].complain("must be over 0");
-        if (item.has("aim-stretch")) r.aim_stretch = item["aim-stretch"].amount();
-        if (item.has("credit")) r.worth = item["credit"].amount();
+        r.latency_objective = item["on-time-ms"].time();
+        if (item.has("on-time-ms") && r.latency_objective == 0) item["on-time-ms"].complain("must be over 0");
+        if (item.has("aim-stretch")) r.objective_per_effort = item["aim-stretch"].amount();
+        if (item.has("credit")) r.priority_weight = item["credit"].amount();
         const double give_up = item.has("give-up-ms") ? item["give-up-ms"].time() : 3000;
         c.longest_deadline = std::max(c.longest_deadline, give_up);
         c.settings.classes.push_back(r);
@@ -215,34 +217,35 @@
     Settings& s = c.settings;
     if (root.has("azs"))
         for (const Field& zone : root["azs"].items()) zone.text();
-    if (root.has("my-zone")) c.my_zone = root["my-zone"].text();
+    if (root.has("my-zone")) c.local_zone = root["my-zone"].text();
     read_classes(c, root);
     if (root.has("membership-mode"))
-        s.list_on_request = root["membership-mode"].named<bool>({{"pushed", false}, {"on_request", true}});
-    if (root.has("siblings")) s.siblings = root["siblings"].whole();
-    if (root.has("siblings") && s.siblings == 0) root["siblings"].complain("must be over 0");
-    if (root.has("my-number")) s.my_number = root["my-number"].whole();
-    s.may_cancel = false;
+        s.polled_discovery = root["membership-mode"].named<bool>({{"pushed", false}, {"on_request", true}});
+    if (root.has("siblings")) s.sidecar_count = root["siblings"].whole();
+    if (root.has("siblings") && s.sidecar_count == 0) root["siblings"].complain("must be over 0");
+    if (root.has("my-number")) s.sidecar_index = root["my-number"].whole();
+    s.cancel_allowed = false;
     if (root.has("limits")) {
         const Field limits = root["limits"];
         if (limits.has("max-attempts")) s.max_attempts = limits["max-attempts"].whole();
         if (limits.has("max-attempts") && s.max_attempts == 0)
             limits["max-attempts"].complain("must be over 0");
-        if (limits.has("parallel-tries")) s.parallel_tries = limits["parallel-tries"].flag();
-        if (limits.has("may-cancel")) s.may_cancel = limits["may-cancel"].flag();
-        if (limits.has("may-probe")) s.may_probe = limits["may-probe"].flag();
-        if (limits.has("may-tell")) s.may_tell = limits["may-tell"].flag();
+        if (limits.has("parallel-tries")) s.hedging_allowed = limits["parallel-tries"].flag();
+        if (limits.has("may-cancel")) s.cancel_allowed = limits["may-cancel"].flag();
+        if (limits.has("may-probe")) s.probes_allowed = limits["may-probe"].flag();
+        if (limits.has("may-tell")) s.gossip_allowed = limits["may-tell"].flag();
         if (limits.has("connect-timeout-ms")) c.connect_timeout = limits["connect-timeout-ms"].time();
-        if (limits.has("idle-close-ms")) c.idle_close = limits["idle-close-ms"].time();
+        if (limits.has("idle-close-ms")) c.idle_timeout = limits["idle-close-ms"].time();
         if (limits.has("max-retry-after-ms")) c.max_retry_after = limits["max-retry-after-ms"].time();
     }
     if (root.has("rules")) {
         const Field rules = root["rules"];
-        if (rules.has("cold-from")) s.cold_from = rules["cold-from"].share();
-        if (rules.has("fall-multiple")) s.fall_multiple = rules["fall-multiple"].amount();
-        if (rules.has("fall-multiple") && s.fall_multiple < 1) rules["fall-multiple"].complain("is under 1");
-        if (rules.has("ask-within-ms")) s.ask_within = rules["ask-within-ms"].time();
-        if (rules.has("warm-within-ms")) s.warm_within = rules["warm-within-ms"].time();
+        if (rules.has("cold-from")) s.slow_start_least_share = rules["cold-from"].share();
+        if (rules.has("fall-multiple")) s.slow_start_overload_factor = rules["fall-multiple"].amount();
+        if (rules.has("fall-multiple") && s.slow_start_overload_factor < 1)
+            rules["fall-multiple"].complain("is under 1");
+        if (rules.has("ask-within-ms")) s.poll_interval = rules["ask-within-ms"].time();
+        if (rules.has("warm-within-ms")) s.slow_start_duration = rules["warm-within-ms"].time();
     }
     if (root.has("fees")) {
         const Field fees = root["fees"];
@@ -262,16 +265,16 @@
     }
 }
 
-void read_trial(TrialRule& trial, const Field& field) {
-    if (field.has("bake_ms")) trial.bake = field["bake_ms"].time();
-    if (field.has("margin")) trial.margin = field["margin"].share();
+void read_trial(CanaryRule& trial, const Field& field) {
+    if (field.has("bake_ms")) trial.duration = field["bake_ms"].time();
+    if (field.has("margin")) trial.max_drop = field["margin"].share();
     if (field.has("min_samples")) trial.min_samples = field["min_samples"].whole<std::size_t>();
     if (trial.min_samples == 0) field["min_samples"].complain("must be over 0");
 }
 
-void read_fleet(FleetConfig& fleet, const Field& field) {
+void read_fleet(ReplicationConfig& fleet, const Field& field) {
     if (field.has("enabled")) fleet.enabled = field["enabled"].flag();
-    if (field.has("agreement")) fleet.agreement = field["agreement"].flag();
+    if (field.has("agreement")) fleet.version_agreement = field["agreement"].flag();
     const auto period = [&](const char* name, Millis& into, Millis least) {
         if (!field.has(name)) return;
         into = field[name].time();
@@ -287,21 +290,21 @@
 void read_own(Config& c, const Field& own) {
     if (own.has("admin")) {
         const Field at = own["admin"]["listen"];
-        c.admin = at.endpoint<tcp>();
-        if (own["admin"].has("listen") && !c.admin->address().is_loopback())
+        c.operator_endpoint = at.endpoint<tcp>();
+        if (own["admin"].has("listen") && !c.operator_endpoint->address().is_loopback())
             at.complain("is not a loopback address");
     }
     if (own.has("state")) {
         const Field state = own["state"];
-        if (state.has("dir")) c.state_dir = state["dir"].text();
-        if (state.has("lived_ms")) c.lived = state["lived_ms"].time();
+        if (state.has("dir")) c.state_directory = state["dir"].text();
+        if (state.has("lived_ms")) c.stable_uptime = state["lived_ms"].time();
     }
-    if (own.has("trial")) read_trial(c.trial, own["trial"]);
-    if (own.has("fleet")) read_fleet(c.fleet, own["fleet"]);
+    if (own.has("trial")) read_trial(c.canary, own["trial"]);
+    if (own.has("fleet")) read_fleet(c.replication, own["fleet"]);
     if (own.has("epoch")) c.epoch = own["epoch"].whole<std::uint32_t>();
     if (own.has("rollout")) {
-        c.rollout = own["rollout"]["share"].share();
-        if (c.rollout < 1 && c.epoch == 0) own["rollout"]["share"].complain("needs an epoch");
+        c.rollout_share = own["rollout"]["share"].share();
+        if (c.rollout_share < 1 && c.epoch == 0) own["rollout"]["share"].complain("needs an epoch");
     }
 }
 
@@ -314,7 +317,7 @@
     }
     c.name = root["name"].text();
     c.listen = root["listen"].endpoint<tcp>();
-    c.discovery = root["discovery"].endpoint<tcp>();
+    c.discovery_address = root["discovery"].endpoint<tcp>();
     const std::string seed = root["seed"].text();
     const char* end = seed.data() + seed.size();
     const auto parsed = std::from_chars(seed.data(), end, c.seed, 16);
@@ -325,7 +328,7 @@
     if (root.has("peers"))
         for (const Field& peer : root["peers"].items()) c.peers.push_back(peer.endpoint<udp>());
     if (root.has("peers_all")) c.peers_all = root["peers_all"].endpoint<udp>();
-    if (root.has("known")) c.known = hosts_at(root["known"]);
+    if (root.has("known")) c.known_endpoints = hosts_at(root["known"]);
     if (root.has(kOwnSection)) read_own(c, root[kOwnSection]);
     read_settings(c, root["settings"]);
     if (complaints.empty()) {
@@ -403,30 +406,30 @@
 
 }  // namespace
 
-ConfigError::ConfigError(std::vector<Complaint> all)
-    : std::runtime_error(in_one_line(all)), complaints(std::move(all)) {}
+ConfigError::ConfigError(std::vector<ValidationError> all)
+    : std::runtime_error(in_one_line(all)), errors(std::move(all)) {}
 
 ConfigError::ConfigError(const std::string& field, const std::string& what)
-    : ConfigError(std::vector<Complaint>{{field, what}}) {}
+    : ConfigError(std::vector<ValidationError>{{field, what}}) {}
 
 bool Config::in_rollout() const {
-    const std::uint32_t words[] = {settings.my_number, epoch};
-    return rollout >= 1 || XXH32(words, sizeof words, 0) < rollout * 4294967296.0;
+    const std::uint32_t words[] = {settings.sidecar_index, epoch};
+    return rollout_share >= 1 || XXH32(words, sizeof words, 0) < rollout_share * 4294967296.0;
 }
 
-bool Config::shares() const {
-    return fleet.enabled && settings.may_tell && peer_listen && settings.siblings > 1 &&
-           settings.siblings <= ochregrade::replication::kMostMembers &&
-           settings.my_number < settings.siblings && peers.size() >= settings.siblings;
+bool Config::joins_replication() const {
+    return replication.enabled && settings.gossip_allowed && peer_listen && settings.sidecar_count > 1 &&
+           settings.sidecar_count <= ochregrade::replication::kMaxMembers &&
+           settings.sidecar_index < settings.sidecar_count && peers.size() >= settings.sidecar_count;
 }
 
 std::size_t Config::class_index(std::string_view class_name) const {
     return static_cast<std::size_t>(std::find(classes.begin(), classes.end(), class_name) - classes.begin());
 }
 
-HostList read_hosts(const json& value) {
+EndpointList parse_endpoint_list(const json& value) {
     Complaints complaints;
-    HostList list = hosts_at(Field(&value, "", complaints));
+    EndpointList list = hosts_at(Field(&value, "", complaints));
     if (!complaints.empty()) throw ConfigError(std::move(complaints));
     return list;
 }
@@ -521,13 +524,13 @@
     Config config = read_all(candidate, complaints);
     const auto fixed = [&](const char* field, const auto& was, const auto& is) {
         const bool said = std::any_of(complaints.begin(), complaints.end(),
-                                      [&](const Complaint& c) { return c.field == field; });
+                                      [&](const ValidationError& c) { return c.field == field; });
         if (!said && was != is) complaints.push_back({field, "can't change while the program runs"});
     };
     fixed("name", running.name, config.name);
     fixed("listen", running.listen, config.listen);
-    fixed("ochregrade.admin.listen", running.admin, config.admin);
-    fixed("ochregrade.state.dir", running.state_dir, config.state_dir);
+    fixed("ochregrade.admin.listen", running.operator_endpoint, config.operator_endpoint);
+    fixed("ochregrade.state.dir", running.state_directory, config.state_directory);
     if (!complaints.empty()) throw ConfigError(std::move(complaints));
     config.seed = running.seed;
     return config;
--- a/src/control/config.hpp
+++ b/src/control/config.hpp
@@ -18,73 +18,73 @@
 using boost::asio::ip::tcp;
 using boost::asio::ip::udp;
 
-struct Complaint {
+struct ValidationError {
     std::string field, what;
 };
 struct ConfigError : std::runtime_error {
-    explicit ConfigError(std::vector<Complaint> all);
+    explicit ConfigError(std::vector<ValidationError> all);
     ConfigError(const std::string& field, const std::string& what);
-    std::vector<Complaint> complaints;  // all of them, not only the first
+    std::vector<ValidationError> errors;  // all of them, not only the first
 };
 
 // One server as discovery lists it.
-struct Host {
+struct ListedEndpoint {
     std::string name;
-    tcp::endpoint dial;
+    tcp::endpoint address;
     std::string zone;
     std::uint32_t cell = 0;
-    Phase phase = Phase::on;
-    Millis born = 0;
-    double units = 1;
+    EndpointState state = EndpointState::serving;
+    Millis started_at = 0;
+    double capacity_weight = 1;
 };
-struct HostList {
+struct EndpointList {
     std::uint64_t seq = 0;
-    bool whole = false;
-    std::vector<Host> hosts;
+    bool complete = false;
+    std::vector<ListedEndpoint> endpoints;
 };
 // Reads discovery's form; throws ConfigError.
-HostList read_hosts(const nlohmann::json& json);
+EndpointList parse_endpoint_list(const nlohmann::json& json);
 
 // How a new generation is tried; bake 0: not at all.
-struct TrialRule {
-    Millis bake = 0;
-    double margin = 0.05;
+struct CanaryRule {
+    Millis duration = 0;
+    double max_drop = 0.05;
     std::size_t min_samples = 50;
 };
 
 // The sidecar's part in the fleet's shared state (docs/FLEET-STATE.md).
-struct FleetConfig {
+struct ReplicationConfig {
     bool enabled = false;
-    bool agreement = true;  // what others act on that is newer is asked for
+    bool version_agreement = true;  // what others act on that is newer is asked for
     Millis probe_period = 1000, gossip_period = 100, sync_period = 2000;
-    bool operator==(const FleetConfig&) const = default;
+    bool operator==(const ReplicationConfig&) const = default;
 };
 
 struct Config {
     std::string name;
     tcp::endpoint listen;
-    tcp::endpoint discovery;
+    tcp::endpoint discovery_address;
     std::uint64_t seed = 0;
     std::size_t sockets = 1024;
     std::size_t memory_mb = 256;
     std::optional<udp::endpoint> peer_listen;
     std::vector<udp::endpoint> peers;
     std::optional<udp::endpoint> peers_all;
-    std::optional<HostList> known;
-    std::optional<tcp::endpoint> admin;
-    TrialRule trial;
-    FleetConfig fleet;
+    std::optional<EndpointList> known_endpoints;
+    std::optional<tcp::endpoint> operator_endpoint;
+    CanaryRule canary;
+    ReplicationConfig replication;
     std::uint32_t epoch = 0;          // of the settings, the operators'; 0: they count none
-    double rollout = 1;               // the share of the fleet that is to act on it
+    double rollout_share = 1;         // the share of the fleet that is to act on it
     std::uint32_t settings_hash = 0;  // of the settings that all sidecars have in common
-    std::string state_dir;            // empty: none
-    Millis lived = 2000;
+    std::string state_directory;      // empty: none
+    Millis stable_uptime = 2000;
 
     Settings settings;  // without my_zone: zones have their numbers from whoever runs
-    std::optional<std::string> my_zone;
+    std::optional<std::string> local_zone;
     std::vector<std::string> classes;
     Millis connect_timeout = 1000;
-    Millis idle_close = 15000;
+    Millis idle_timeout = 15000;
     Millis longest_deadline = 3000;
     Millis max_retry_after = 1000;
 
@@ -94,7 +94,7 @@
     // Whether this sidecar is among the share that acts on it: the same ones whoever asks.
     bool in_rollout() const;
     // Whether it takes part in the shared state: it is asked to, may tell, and knows its place in the fleet.
-    bool shares() const;
+    bool joins_replication() const;
     // Index of a class by its name; classes.size() if there is none.
     std::size_t class_index(std::string_view class_name) const;
 };
--- a/src/control/config_schema.cpp
+++ b/src/control/config_schema.cpp
@@ -157,7 +157,7 @@
 
 std::span<const FieldInfo> config_fields() { return kFields; }
 
-const char* word(FieldKind kind) {
+const char* to_string(FieldKind kind) {
     switch (kind) {
         case live:
             return "live";
@@ -184,8 +184,8 @@
 std::string fields_as_markdown() {
     std::string text = "| field | kind | form | meaning |\n| --- | --- | --- | --- |\n";
     for (const FieldInfo& f : kFields)
-        text +=
-            std::string("| `") + f.path + "` | " + word(f.kind) + " | " + f.form + " | " + f.meaning + " |\n";
+        text += std::string("| `") + f.path + "` | " + to_string(f.kind) + " | " + f.form + " | " +
+                f.meaning + " |\n";
     return text;
 }
 
--- a/src/control/config_schema.hpp
+++ b/src/control/config_schema.hpp
@@ -23,7 +23,7 @@
     const char* meaning;
 };
 std::span<const FieldInfo> config_fields();
-const char* word(FieldKind kind);
+const char* to_string(FieldKind kind);
 
 // The paths in a configuration that the table does not know, at most `most` of them.
 std::vector<std::string> unknown_fields(const nlohmann::json& config, std::size_t most = 20);
--- a/src/control/config_versions.cpp
+++ b/src/control/config_versions.cpp
@@ -5,34 +5,34 @@
 
 namespace ochregrade::sidecar {
 
-void Generations::committed(SnapshotPtr snapshot, Source source, std::uint64_t content, const TrialRule& rule,
-                            Millis now) {
-    const std::uint64_t number = snapshot->generation;
+void ConfigVersions::commit(ConfigSnapshotPtr snapshot, Source source, std::uint64_t content,
+                            const CanaryRule& rule, Millis now) {
+    const std::uint64_t number = snapshot->version;
     next_ = std::max(next_, number + 1);
-    std::uint64_t fallback = kept_.empty() ? 0 : current().number();
-    if (trial_) {
-        Entry& tried = kept_.back();
-        tried.state = source == Source::trial      ? State::taken_back
+    std::uint64_t fallback = retained_.empty() ? 0 : current().number();
+    if (canary_) {
+        Entry& tried = retained_.back();
+        tried.state = source == Source::canary     ? State::rolled_back
                       : source == Source::rollback ? State::withdrawn
                                                    : State::superseded;
-        fallback = trial_->fallback;
-        trial_.reset();
+        fallback = canary_->fallback;
+        canary_.reset();
     }
-    kept_.push_back({std::move(snapshot), content ? content : number, source, State::good, now, {}});
+    retained_.push_back({std::move(snapshot), content ? content : number, source, State::good, now, {}});
     // What has just been left for its faults is no measure, and what was good once needs no second trial.
-    if (rule.bake > 0 && fallback != 0 && (source == Source::file || source == Source::operators)) {
-        kept_.back().state = State::on_trial;
-        trial_ = Trial{rule, fallback, recent(now), {}, now};
+    if (rule.duration > 0 && fallback != 0 && (source == Source::file || source == Source::operators)) {
+        retained_.back().state = State::canary;
+        canary_ = Canary{rule, fallback, recent(now), {}, now};
         // A request that is going to fail takes its whole time for it.
-        trial_->rule.bake = std::max(rule.bake, kept_.back().snapshot->config.longest_deadline);
+        canary_->rule.duration = std::max(rule.duration, retained_.back().snapshot->config.longest_deadline);
     }
-    forget();
+    drop_oldest();
 }
 
-void Generations::answered(std::uint64_t generation, bool served, Millis now) {
-    if (trial_ && generation == current().number()) {
-        trial_->during.all += 1;
-        trial_->during.served += served ? 1 : 0;
+void ConfigVersions::record_answer(std::uint64_t generation, bool served, Millis now) {
+    if (canary_ && generation == current().number()) {
+        canary_->observed.all += 1;
+        canary_->observed.served += served ? 1 : 0;
         return;  // and is no measure for others before it is found good
     }
     const auto second = static_cast<std::int64_t>(now / 1000);
@@ -42,7 +42,7 @@
     slot.share.served += served ? 1 : 0;
 }
 
-Generations::Share Generations::recent(Millis now) const {
+ConfigVersions::Share ConfigVersions::recent(Millis now) const {
     const auto second = static_cast<std::int64_t>(now / 1000);
     Share sum;
     for (const Second& s : seconds_)
@@ -53,89 +53,90 @@
     return sum;
 }
 
-std::optional<Generations::Return> Generations::due(Millis now) {
-    if (!trial_) return {};
-    const Trial& t = *trial_;
-    const bool enough = t.during.all >= t.rule.min_samples;
+std::optional<ConfigVersions::Rollback> ConfigVersions::due(Millis now) {
+    if (!canary_) return {};
+    const Canary& t = *canary_;
+    const bool enough = t.observed.all >= t.rule.min_samples;
     // Too few answers before it say nothing: it is then held to all of them.
-    const double before = t.before.all >= t.rule.min_samples ? t.before.value() : 1;
+    const double before = t.baseline.all >= t.rule.min_samples ? t.baseline.value() : 1;
     char why[160];
-    if (enough && t.during.value() < before - t.rule.margin) {
+    if (enough && t.observed.value() < before - t.rule.max_drop) {
         std::snprintf(why, sizeof why, "share served fell from %.3f to %.3f (%llu answers)", before,
-                      t.during.value(), static_cast<unsigned long long>(t.during.all));
-    } else if (!enough && now >= t.since + t.rule.bake * kLongestWait) {
+                      t.observed.value(), static_cast<unsigned long long>(t.observed.all));
+    } else if (!enough && now >= t.started_at + t.rule.duration * kLongestWait) {
         // No data is not health.
         std::snprintf(why, sizeof why, "only %llu answers of %zu within its trial",
-                      static_cast<unsigned long long>(t.during.all), t.rule.min_samples);
+                      static_cast<unsigned long long>(t.observed.all), t.rule.min_samples);
     } else {
-        if (enough && now >= t.since + t.rule.bake) {
-            kept_.back().state = State::good;
-            trial_.reset();
-            forget();
+        if (enough && now >= t.started_at + t.rule.duration) {
+            retained_.back().state = State::good;
+            canary_.reset();
+            drop_oldest();
         }
         return {};
     }
-    kept_.back().note = why;
-    return Return{find(t.fallback), why};
+    retained_.back().note = why;
+    return Rollback{find(t.fallback), why};
 }
 
-const Generations::Entry* Generations::find(std::uint64_t generation) const {
-    const auto at =
-        std::find_if(kept_.begin(), kept_.end(), [&](const Entry& e) { return e.number() == generation; });
-    return at == kept_.end() ? nullptr : &*at;
+const ConfigVersions::Entry* ConfigVersions::find(std::uint64_t generation) const {
+    const auto at = std::find_if(retained_.begin(), retained_.end(),
+                                 [&](const Entry& e) { return e.number() == generation; });
+    return at == retained_.end() ? nullptr : &*at;
 }
 
-std::uint64_t Generations::first_to_say(const std::string& document) const {
-    for (const Entry& e : kept_)
-        if (e.snapshot->config.document == document) return e.content;
+std::uint64_t ConfigVersions::first_with(const std::string& document) const {
+    for (const Entry& e : retained_)
+        if (e.snapshot->config.document == document) return e.content_version;
     return 0;
 }
 
-const Generations::Entry* Generations::previous() const {
-    if (trial_) return find(trial_->fallback);
-    for (auto e = kept_.rbegin(); e != kept_.rend(); ++e)
-        if (e->state == State::good && e->content == e->number() && e->number() < current().content)
+const ConfigVersions::Entry* ConfigVersions::previous() const {
+    if (canary_) return find(canary_->fallback);
+    for (auto e = retained_.rbegin(); e != retained_.rend(); ++e)
+        if (e->state == State::good && e->content_version == e->number() &&
+            e->number() < current().content_version)
             return &*e;
     return nullptr;
 }
 
 // The oldest go first, but never the one that a trial may have to go back to.
-void Generations::forget() {
-    while (kept_.size() > kKept) {
-        const bool needed = trial_ && kept_.front().number() == trial_->fallback;
-        kept_.erase(kept_.begin() + (needed ? 1 : 0));
+void ConfigVersions::drop_oldest() {
+    while (retained_.size() > kMaxRetained) {
+        const bool needed = canary_ && retained_.front().number() == canary_->fallback;
+        retained_.erase(retained_.begin() + (needed ? 1 : 0));
     }
 }
 
-const char* word(Generations::Source source) {
+const char* to_string(ConfigVersions::Source source) {
     switch (source) {
-        case Generations::Source::start:
+        case ConfigVersions::Source::start:
             return "start";
-        case Generations::Source::file:
+        case ConfigVersions::Source::file:
             return "file";
-        case Generations::Source::operators:
+        case ConfigVersions::Source::operators:
             return "operators";
-        case Generations::Source::rollback:
+        case ConfigVersions::Source::rollback:
             return "rollback";
-        case Generations::Source::trial:
+        case ConfigVersions::Source::canary:
             return "trial";
-        case Generations::Source::recovery:
+        case ConfigVersions::Source::recovery:
             break;
     }
     return "recovery";
 }
 
-const char* word(Generations::State state) {
+const char* to_string(ConfigVersions::State state) {
     switch (state) {
-        case Generations::State::good:
+        case ConfigVersions::State::good:
             return "good";
-        case Generations::State::on_trial:
+        case ConfigVersions::State::canary:
             return "on trial";
-        case Generations::State::taken_back:
+        case ConfigVersions::State::rolled_back:
             return "taken back";
-        case Generations::State::superseded:
+        case ConfigVersions::State::superseded:
             return "superseded";
-        case Generations::State::withdrawn:
+        case ConfigVersions::State::withdrawn:
             break;
     }
     return "withdrawn";
--- a/src/control/config_versions.hpp
+++ b/src/control/config_versions.hpp
@@ -1,5 +1,6 @@
-// Generations of the configuration: which is in force, which may be gone back to, and the trial of a new one.
-// No sockets and no clock: times come in, and whoever carries out what due() says commits it here again.
+// Versions of the configuration: which one is in force, which ones may be gone back to, and the canary of a
+// new one. No sockets and no clock: times come in, and whoever carries out what due() says commits it here
+// again.
 #pragma once
 
 #include <array>
@@ -13,76 +14,76 @@
 namespace ochregrade::sidecar {
 
 // Never changed once it is in force: a request holds the one it began with to its end.
-struct Snapshot {
-    std::uint64_t generation = 0;
+struct ConfigSnapshot {
+    std::uint64_t version = 0;
     Config config;
     SettingsPtr settings;  // the same, with its zone's number
     // That it is acted on under: the configuration's own, and for one gone back to a newer one.
     std::uint32_t epoch = 0;
 };
-using SnapshotPtr = std::shared_ptr<const Snapshot>;
+using ConfigSnapshotPtr = std::shared_ptr<const ConfigSnapshot>;
 
-class Generations {
+class ConfigVersions {
 public:
-    enum class Source { start, file, operators, rollback, trial, recovery };
+    enum class Source { start, file, operators, rollback, canary, recovery };
     enum class State {
         good,
-        on_trial,
-        taken_back,  // its trial ended badly
-        superseded,  // another generation came before its trial had ended
-        withdrawn    // an operator went back before its trial had ended
+        canary,
+        rolled_back,  // its trial ended badly
+        superseded,   // another generation came before its trial had ended
+        withdrawn     // an operator went back before its trial had ended
     };
     struct Entry {
-        SnapshotPtr snapshot;
-        std::uint64_t content = 0;  // the generation that first said the same
+        ConfigSnapshotPtr snapshot;
+        std::uint64_t content_version = 0;  // the generation that first said the same
         Source source = Source::start;
         State state = State::good;
-        Millis at = 0;
+        Millis committed_at = 0;
         std::string note;
-        std::uint64_t number() const { return snapshot->generation; }
+        std::uint64_t number() const { return snapshot->version; }
     };
     struct Share {
         std::uint64_t served = 0, all = 0;
         double value() const { return all > 0 ? static_cast<double>(served) / static_cast<double>(all) : 1; }
     };
-    struct Trial {
-        TrialRule rule;
+    struct Canary {
+        CanaryRule rule;
         std::uint64_t fallback = 0;  // the last good one
-        Share before, during;
-        Millis since = 0;
+        Share baseline, observed;
+        Millis started_at = 0;
     };
-    static constexpr std::size_t kKept = 8;
+    static constexpr std::size_t kMaxRetained = 8;
     static constexpr Millis kLongestWait = 4;  // times the bake, for the smallest number of samples
 
-    std::uint64_t next() const { return next_; }
+    std::uint64_t next_version() const { return next_; }
     // Numbers go on from there: a state from before the start named generations too.
-    void go_on_from(std::uint64_t generation) { next_ = std::max(next_, generation); }
+    void continue_from(std::uint64_t generation) { next_ = std::max(next_, generation); }
 
     // From an earlier life, oldest first, before anything is in force; trials don't outlive theirs.
-    void restore(std::deque<Entry> kept) { kept_ = std::move(kept), forget(); }
+    void restore(std::deque<Entry> retained) { retained_ = std::move(retained), drop_oldest(); }
     // The generation that first said this, if it is kept; 0: none did.
-    std::uint64_t first_to_say(const std::string& document) const;
+    std::uint64_t first_with(const std::string& document) const;
 
     // It is in force from now on. content: 0 for one that says something new.
-    void committed(SnapshotPtr snapshot, Source source, std::uint64_t content, const TrialRule& rule,
-                   Millis now);
+    void commit(ConfigSnapshotPtr snapshot, Source source, std::uint64_t content_version,
+                const CanaryRule& rule, Millis now);
     // The final answer of a request that began with that generation.
-    void answered(std::uint64_t generation, bool served, Millis now);
+    void record_answer(std::uint64_t generation, bool served, Millis now);
 
     // A trial that ended badly: the entry to go back to, and why. It says so until that is committed.
-    struct Return {
+    struct Rollback {
         const Entry* to = nullptr;
         std::string why;
     };
-    std::optional<Return> due(Millis now);
+    std::optional<Rollback> due(Millis now);
 
-    const Entry& current() const { return kept_.back(); }
-    const std::deque<Entry>& kept() const { return kept_; }
+    const Entry& current() const { return retained_.back(); }
+    const std::deque<Entry>& retained() const { return retained_; }
     const Entry* find(std::uint64_t generation) const;
     // Where an operator's "back" without a number leads: out of a trial to the last good one, else to the
     // newest good one older than what is in force says. None: there is nothing older.
     const Entry* previous() const;
-    const std::optional<Trial>& trial() const { return trial_; }
+    const std::optional<Canary>& canary() const { return canary_; }
     Share recent(Millis now) const;  // of the last minute
 
 private:
@@ -90,15 +91,15 @@
         std::int64_t at = -1;
         Share share;
     };
-    void forget();
+    void drop_oldest();
 
     std::uint64_t next_ = 1;
-    std::deque<Entry> kept_;  // the one in force last
-    std::optional<Trial> trial_;
+    std::deque<Entry> retained_;  // the one in force last
+    std::optional<Canary> canary_;
     std::array<Second, 60> seconds_{};
 };
 
-const char* word(Generations::Source source);
-const char* word(Generations::State state);
+const char* to_string(ConfigVersions::Source source);
+const char* to_string(ConfigVersions::State state);
 
 }  // namespace ochregrade::sidecar
--- a/src/control/operator_endpoint.cpp
+++ b/src/control/operator_endpoint.cpp
@@ -84,22 +84,22 @@
     std::map<std::string, std::string> values_;
 };
 
-json share(const Generations::Share& s) { return {{"served", s.served}, {"answers", s.all}}; }
+json share(const ConfigVersions::Share& s) { return {{"served", s.served}, {"answers", s.all}}; }
 
 json trial_now(const Node& node) {
-    const auto& t = node.generations().trial();
+    const auto& t = node.generations().canary();
     if (!t) return nullptr;
-    return {{"bake_ms", t->rule.bake},
-            {"margin", t->rule.margin},
+    return {{"bake_ms", t->rule.duration},
+            {"margin", t->rule.max_drop},
             {"min_samples", t->rule.min_samples},
             {"falls_back_to", t->fallback},
-            {"running_ms", node.clock().now() - t->since},
-            {"before", share(t->before)},
-            {"during", share(t->during)}};
+            {"running_ms", node.clock().now() - t->started_at},
+            {"before", share(t->baseline)},
+            {"during", share(t->observed)}};
 }
 
 json state_now(const Node& node) {
-    Keeper* keeper = node.keeper();
+    StateStore* keeper = node.keeper();
     if (!keeper) return nullptr;
     const auto counts = keeper->counts();
     json j = {{"usable", keeper->usable()},
@@ -107,45 +107,45 @@
               {"written", counts.written},
               {"failed", counts.failed},
               {"bytes", counts.bytes}};
-    if (!keeper->usable()) j["why"] = keeper->why();
+    if (!keeper->usable()) j["why"] = keeper->unusable_reason();
     if (counts.last_error) j["last_error"] = std::strerror(counts.last_error);
     return j;
 }
 
-json entry(const Generations::Entry& e) {
+json entry(const ConfigVersions::Entry& e) {
     json j = {{"generation", e.number()},
-              {"content_of", e.content},
-              {"source", word(e.source)},
-              {"state", word(e.state)},
-              {"at_ms", std::floor(e.at)}};
+              {"content_of", e.content_version},
+              {"source", to_string(e.source)},
+              {"state", to_string(e.state)},
+              {"at_ms", std::floor(e.committed_at)}};
     if (!e.note.empty()) j["note"] = e.note;
     return j;
 }
 
-HttpResponse told(const Node& node, const Change& change, json more = json::object()) {
-    more["result"] = word(change.result);
+HttpResponse told(const Node& node, const ConfigChange& change, json more = json::object()) {
+    more["result"] = to_string(change.result);
     more["generation"] = change.generation;
     if (!change.note.empty()) more["error"] = change.note;
-    for (const Complaint& c : change.complaints)
+    for (const ValidationError& c : change.complaints)
         more["complaints"].push_back({{"field", c.field}, {"what", c.what}});
-    if (change.result == Change::Result::applied) more["trial"] = trial_now(node);
-    const auto status = change.result == Change::Result::refused    ? http::status::unprocessable_entity
-                        : change.result == Change::Result::conflict ? http::status::conflict
-                        : change.result == Change::Result::missing  ? http::status::not_found
-                                                                    : http::status::ok;
+    if (change.result == ConfigChange::Result::applied) more["trial"] = trial_now(node);
+    const auto status = change.result == ConfigChange::Result::refused    ? http::status::unprocessable_entity
+                        : change.result == ConfigChange::Result::conflict ? http::status::conflict
+                        : change.result == ConfigChange::Result::missing  ? http::status::not_found
+                                                                          : http::status::ok;
     return answer(status, more);
 }
 
 HttpResponse post_config(Node& node, const HttpRequest& request, const Query& query) {
-    ChangeOptions options;
+    ConfigChangeOptions options;
     options.dry_run = query.flag("dry_run");
     options.expected = query.whole("expected_generation");
-    if (const auto bake = query.amount("bake_ms")) options.trial.emplace().bake = *bake;
+    if (const auto bake = query.amount("bake_ms")) options.trial.emplace().duration = *bake;
     if ((query.has("margin") || query.has("min_samples")) && !options.trial)
         throw BadCall(http::status::bad_request, "parameter bake_ms is missing");
     if (const auto margin = query.amount("margin")) {
         if (*margin > 1) throw BadCall(http::status::bad_request, "parameter margin is over 1");
-        options.trial->margin = *margin;
+        options.trial->max_drop = *margin;
     }
     if (const auto samples = query.whole("min_samples")) {
         if (*samples == 0) throw BadCall(http::status::bad_request, "parameter min_samples must be over 0");
@@ -158,9 +158,9 @@
         throw BadCall(http::status::bad_request, error.what());
     }
     const json before = json::parse(node.sidecar().snapshot()->config.document);
-    const Change change = node.change(candidate, Generations::Source::operators, true, options);
+    const ConfigChange change = node.change(candidate, ConfigVersions::Source::operators, true, options);
     json more = json::object();
-    if (change.result == Change::Result::sound) {
+    if (change.result == ConfigChange::Result::sound) {
         // What it would change: fields that it leaves out and that stay are no difference.
         keep_fixed(candidate, before);
         more["changes"] = json::array();
@@ -173,7 +173,8 @@
 
 HttpResponse get_config(const Node& node, const Query& query) {
     const auto wanted = query.whole("generation");
-    const Generations::Entry* e = wanted ? node.generations().find(*wanted) : &node.generations().current();
+    const ConfigVersions::Entry* e =
+        wanted ? node.generations().find(*wanted) : &node.generations().current();
     if (!e) throw BadCall(http::status::not_found, "that generation is not kept");
     json j = entry(*e);
     j["config"] = json::parse(e->snapshot->config.document);
@@ -182,13 +183,13 @@
 
 HttpResponse get_history(const Node& node) {
     json all = json::array();
-    for (const auto& e : node.generations().kept()) all.push_back(entry(e));
+    for (const auto& e : node.generations().retained()) all.push_back(entry(e));
     return answer(http::status::ok, {{"generations", all}, {"trial", trial_now(node)}});
 }
 
 // The sidecar's part in the shared state; null where it takes none.
 json fleet_now(const Node& node) {
-    const Shared* shared = node.shared();
+    const ReplicationDriver* shared = node.shared();
     if (!shared) return nullptr;
     const replication::Replica& r = shared->replica();
     const auto versions = r.member(r.self()).versions();
@@ -202,17 +203,17 @@
             {"records", r.records()},
             {"caught_up", r.caught_up()},
             {"acts_on", acts},
-            {"list_behind", shared->list_chase().behind()},
-            {"settings_behind", shared->settings_chase().behind()}};
+            {"list_behind", shared->endpoints_follower().behind()},
+            {"settings_behind", shared->settings_follower().behind()}};
 }
 
 HttpResponse get_status(const Node& node) {
-    const auto held = node.held();
+    const auto held = node.usage();
     const auto recent = node.generations().recent(node.clock().now());
     const auto& counts = node.counts();
     const Config& config = node.sidecar().snapshot()->config;
     std::ostringstream discovery;
-    discovery << config.discovery;
+    discovery << config.discovery_address;
     return answer(
         http::status::ok,
         {{"name", config.name},
@@ -221,14 +222,14 @@
          {"trial", trial_now(node)},
          {"last_minute", share(recent)},
          {"list",
-          {{"held", node.sidecar().holds_list()},
+          {{"held", node.sidecar().has_endpoints()},
            {"seq", node.discovery().seq()},
-           {"servers", held.servers},
-           {"removed", held.removed},
+           {"servers", held.endpoints},
+           {"removed", held.ejected},
            {"discovery", discovery.str()}}},
          {"state", state_now(node)},
          {"fleet", fleet_now(node)},
-         {"unanswered", node.sidecar().unanswered()},
+         {"unanswered", node.sidecar().pending_requests()},
          {"connections", {{"clients", node.listener().connections()}, {"servers", held.connections}}},
          {"changes",
           {{"applied", counts.applied},
@@ -262,54 +263,54 @@
         family(name, "counter", help), line(name, value);
     };
     const auto& t = node.sidecar().totals();
-    const auto held = node.held();
+    const auto held = node.usage();
     const auto& c = node.counts();
     counter("requests_total", t.arrived, "Requests taken.");
     family("answers_total", "counter", "Final answers by kind; left: the client did not wait.");
     line("answers_total", t.served, "{result=\"served\"}");
-    line("answers_total", t.refused, "{result=\"refused\"}");
+    line("answers_total", t.rejected, "{result=\"refused\"}");
     line("answers_total", t.failed, "{result=\"failed\"}");
-    line("answers_total", t.passed_on, "{result=\"passed_on\"}");
-    line("answers_total", t.left, "{result=\"left\"}");
+    line("answers_total", t.forwarded_errors, "{result=\"passed_on\"}");
+    line("answers_total", t.client_disconnects, "{result=\"left\"}");
     counter("attempts_total", t.attempts, "Attempts at servers.");
     family("retries_total", "counter", "Attempts after the first, by how the one before ended.");
     by_reason("retries_total", t.retries, "after", [](std::size_t i) {
-        return i < kOutcomes ? name_of(static_cast<Outcome>(i)) : std::string_view("in_flight");
+        return i < kOutcomeCount ? to_string(static_cast<Outcome>(i)) : std::string_view("in_flight");
     });
-    const auto end_name = [](std::size_t i) { return name_of(static_cast<EndReason>(i)); };
+    const auto end_name = [](std::size_t i) { return to_string(static_cast<EndReason>(i)); };
     family("refusals_total", "counter", "Requests answered 503, by reason.");
-    by_reason("refusals_total", t.refusals, "reason", end_name);
+    by_reason("refusals_total", t.rejections, "reason", end_name);
     family("failures_total", "counter", "Requests answered 502, by reason.");
     by_reason("failures_total", t.failures, "reason", end_name);
-    const auto close_name = [](std::size_t i) { return name_of(static_cast<CloseReason>(i)); };
+    const auto close_name = [](std::size_t i) { return to_string(static_cast<CloseReason>(i)); };
     family("closes_total", "counter", "Connections closed, by side and reason.");
     by_reason("closes_total", node.listener().closes(), "reason", close_name, "side=\"clients\",");
     by_reason("closes_total", node.sidecar().server_closes(), "reason", close_name, "side=\"servers\",");
     const auto& guard = node.sidecar().rule_guard().counts();
     family("sends_withheld_total", "counter", "Attempts that the rule guard kept from being written.");
     by_reason("sends_withheld_total", guard.withheld, "reason",
-              [](std::size_t i) { return name_of(static_cast<Withheld>(i)); });
+              [](std::size_t i) { return to_string(static_cast<Withheld>(i)); });
     family("rule_violations_total", "counter", "Rules broken, or that would have been but for the guard.");
     by_reason("rule_violations_total", guard.violations, "rule",
-              [](std::size_t i) { return name_of(static_cast<Violation>(i)); });
+              [](std::size_t i) { return to_string(static_cast<Violation>(i)); });
     counter("probes_total", t.probes, "Probes of servers.");
-    counter("peer_messages_total", t.told, "Datagrams to other sidecars.");
-    gauge("unanswered", node.sidecar().unanswered(), "Requests without a final answer.");
+    counter("peer_messages_total", t.gossip_sent, "Datagrams to other sidecars.");
+    gauge("unanswered", node.sidecar().pending_requests(), "Requests without a final answer.");
     family("connections", "gauge", "Open connections.");
     line("connections", node.listener().connections(), "{side=\"clients\"}");
     line("connections", held.connections, "{side=\"servers\"}");
-    gauge("servers", held.servers, "Servers known.");
-    gauge("servers_removed", held.removed, "Servers out of the pool after failures (outlier ejection).");
+    gauge("servers", held.endpoints, "Servers known.");
+    gauge("servers_removed", held.ejected, "Servers out of the pool after failures (outlier ejection).");
     gauge("list_seq", node.discovery().seq(), "Number of the list of servers held.");
     gauge("config_generation", node.generations().current().number(), "Generation in force.");
-    gauge("config_on_trial", node.generations().trial() ? 1 : 0, "Whether it is on trial.");
+    gauge("config_on_trial", node.generations().canary() ? 1 : 0, "Whether it is on trial.");
     family("config_changes_total", "counter", "Changes of the configuration by how they ended.");
     line("config_changes_total", c.applied, "{result=\"applied\"}");
     line("config_changes_total", c.refused, "{result=\"refused\"}");
     line("config_changes_total", c.unchanged, "{result=\"unchanged\"}");
     line("config_changes_total", c.rolled_back, "{result=\"rolled_back\"}");
     line("config_changes_total", c.taken_back, "{result=\"taken_back\"}");
-    if (const Shared* shared = node.shared()) {
+    if (const ReplicationDriver* shared = node.shared()) {
         const auto& f = shared->replica().counts();
         gauge("fleet_members_alive", shared->replica().alive(), "Members of the shared state held to run.");
         counter("fleet_datagrams_sent_total", f.sent, "Datagrams of the shared state sent.");
@@ -318,21 +319,22 @@
         family("fleet_datagrams_dropped_total", "counter", "Datagrams that could not be read, by cause.");
         for (int i = 0; i < replication::kFaults; ++i)
             line("fleet_datagrams_dropped_total", f.faults[static_cast<std::size_t>(i)],
-                 ("{cause=\"" + std::string(replication::word(static_cast<replication::Fault>(i))) + "\"}")
+                 ("{cause=\"" + std::string(replication::to_string(static_cast<replication::Fault>(i))) +
+                  "\"}")
                      .c_str());
         counter("fleet_unknown_members_total", f.unknown_members, "Items about numbers beyond the tier.");
         counter("fleet_far_lives_total", f.far_lives, "Items of lives too far ahead of the clock.");
         counter("fleet_refuted_total", f.refuted, "Untrue things said of this sidecar, refuted.");
         counter("fleet_suspected_total", f.suspected, "Members suspected after a probe of ours.");
         counter("fleet_stalls_total", f.stalls, "Times this process stood still.");
-        counter("fleet_list_calls_total", shared->list_chase().calls(),
+        counter("fleet_list_calls_total", shared->endpoints_follower().calls(),
                 "Lists asked for since others had newer.");
-        counter("fleet_settings_reads_total", shared->settings_chase().calls(), "The same for the file.");
+        counter("fleet_settings_reads_total", shared->settings_follower().calls(), "The same for the file.");
         counter("fleet_unfounded_claims_total",
-                shared->list_chase().unfounded() + shared->settings_chase().unfounded(),
+                shared->endpoints_follower().unfounded() + shared->settings_follower().unfounded(),
                 "Claims of newer versions that nothing was found of.");
     }
-    if (Keeper* keeper = node.keeper()) {
+    if (StateStore* keeper = node.keeper()) {
         const auto counts = keeper->counts();
         counter("state_writes_total", counts.written, "Records written to the state folder.");
         counter("state_write_failures_total", counts.failed, "Records that could not be written.");
@@ -390,7 +392,7 @@
 
 }  // namespace
 
-HttpResponse Admin::handle(Node& node, const HttpRequest& request) {
+HttpResponse OperatorEndpoint::handle(Node& node, const HttpRequest& request) {
     try {
         return route(node, request);
     } catch (const BadCall& bad) {
@@ -400,7 +402,7 @@
     }
 }
 
-class Admin::Session : public std::enable_shared_from_this<Session> {
+class OperatorEndpoint::Session : public std::enable_shared_from_this<Session> {
 public:
     Session(Node& node, tcp::socket socket)
         : node_(node), stream_(std::move(socket)), write_limit_(stream_.get_executor()) {}
@@ -470,7 +472,7 @@
     bool first_ = true;
 };
 
-Admin::Admin(asio::io_context& io, Node& node, const tcp::endpoint& at)
+OperatorEndpoint::OperatorEndpoint(asio::io_context& io, Node& node, const tcp::endpoint& at)
     : node_(node), acceptor_(io), retry_(io) {
     acceptor_.open(at.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
@@ -481,9 +483,9 @@
     accept();
 }
 
-Admin::~Admin() = default;
+OperatorEndpoint::~OperatorEndpoint() = default;
 
-void Admin::accept() {
+void OperatorEndpoint::accept() {
     acceptor_.async_accept([this](error_code ec, tcp::socket socket) {
         if (ec == asio::error::operation_aborted) return;
         std::erase_if(sessions_, [](const auto& s) { return s.expired(); });
--- a/src/control/operator_endpoint.hpp
+++ b/src/control/operator_endpoint.hpp
@@ -10,10 +10,10 @@
 
 namespace ochregrade::sidecar {
 
-class Admin {
+class OperatorEndpoint {
 public:
-    Admin(asio::io_context& io, Node& node, const tcp::endpoint& at);  // throws if it can't listen
-    ~Admin();
+    OperatorEndpoint(asio::io_context& io, Node& node, const tcp::endpoint& at);  // throws if it can't listen
+    ~OperatorEndpoint();
     tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
 
     // One call, answered: what the sockets carry, and what can be tested without them.
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -22,7 +22,7 @@
 constexpr std::uint64_t kListLimit = 16 * 1024 * 1024;
 }  // namespace
 
-struct Discovery::Call {
+struct DiscoveryClient::Call {
     explicit Call(std::unique_ptr<beast::tcp_stream> s) : stream(std::move(s)) {}
     std::unique_ptr<beast::tcp_stream> stream;
     std::string request;  // its text
@@ -31,28 +31,29 @@
     bool whole = false;
 };
 
-Discovery::Discovery(asio::io_context& io, const tcp::endpoint& at, std::optional<std::uint64_t> known,
-                     bool on_request, std::uint64_t seed, Handlers handlers)
+DiscoveryClient::DiscoveryClient(asio::io_context& io, const tcp::endpoint& at,
+                                 std::optional<std::uint64_t> known, bool on_request, std::uint64_t seed,
+                                 Handlers handlers)
     : io_(io),
       random_(seed),
       at_(at),
       handlers_(std::move(handlers)),
       pause_(io),
       seq_(known.value_or(0)),
-      on_request_(on_request),
+      polled_(on_request),
       gap_(!known) {}
 
-void Discovery::watch(bool active) {
+void DiscoveryClient::watch(bool active) {
     active_ = active;
     if (active && !call_) next();
 }
 
-void Discovery::fetch() {
+void DiscoveryClient::fetch() {
     fetch_ = true;
     if (!call_) next();
 }
 
-void Discovery::move_to(const tcp::endpoint& to) {
+void DiscoveryClient::set_address(const tcp::endpoint& to) {
     if (to == at_) return;
     log_line("discovery moves");
     at_ = to;
@@ -67,7 +68,7 @@
     next();
 }
 
-void Discovery::ask_now(std::uint32_t incarnation, std::uint64_t seq) {
+void DiscoveryClient::poll_now(std::uint32_t incarnation, std::uint64_t seq) {
     claimed_incarnation_ = incarnation, claimed_seq_ = seq;
     const auto old = std::move(call_);
     call_.reset();
@@ -79,8 +80,8 @@
 
 // A list that is only late says so once. A discovery that began anew says lower numbers, and no others, for
 // as long as it takes, or others have seen it too.
-bool Discovery::counts_anew(const HostList& list) {
-    if (!list.whole) return false;
+bool DiscoveryClient::counts_anew(const EndpointList& list) {
+    if (!list.complete) return false;
     const auto now = std::chrono::steady_clock::now();
     const bool others = claimed_incarnation_ > incarnation_ && list.seq >= claimed_seq_;
     const bool lasting = lower_since_ && list.seq >= lower_seq_ && now - *lower_since_ >= kLasting;
@@ -92,13 +93,13 @@
     return true;
 }
 
-void Discovery::next() {
+void DiscoveryClient::next() {
     if (call_ || (!active_ && !fetch_)) return;
     pause_.cancel();
     call(gap_ || fetch_);
 }
 
-void Discovery::call(bool whole) {
+void DiscoveryClient::call(bool whole) {
     const bool fresh = !kept_;
     auto call = std::make_shared<Call>(fresh ? std::make_unique<beast::tcp_stream>(io_) : std::move(kept_));
     kept_.reset();
@@ -135,40 +136,41 @@
     });
 }
 
-void Discovery::answered(const std::shared_ptr<Call>& call) {
+void DiscoveryClient::answered(const std::shared_ptr<Call>& call) {
     const auto& response = call->parser.get();
     if (response.result_int() != 200) return failed(call, "status " + std::to_string(response.result_int()));
-    HostList list;
+    EndpointList list;
     try {
-        list = read_hosts(nlohmann::json::parse(response.body()));
+        list = parse_endpoint_list(nlohmann::json::parse(response.body()));
     } catch (const std::exception& error) {
         return unsound(call, std::string("an answer that can't be read: ") + error.what());
     }
-    if (call->whole && !list.whole) return unsound(call, "changes where the whole list was asked for");
+    if (call->whole && !list.complete) return unsound(call, "changes where the whole list was asked for");
     if (list.seq < seq_ && !counts_anew(list)) return unsound(call, "an older list");
     lower_since_.reset();
-    if (list.whole && claimed_incarnation_ > incarnation_ && list.seq >= claimed_seq_)
+    if (list.complete && claimed_incarnation_ > incarnation_ && list.seq >= claimed_seq_)
         incarnation_ = claimed_incarnation_;
     if (tracing())
-        trace_event("list", {{"seq", list.seq}, {"whole", list.whole}, {"changes", list.hosts.size()}});
+        trace_event("list",
+                    {{"seq", list.seq}, {"whole", list.complete}, {"changes", list.endpoints.size()}});
     call_.reset();
     if (call->parser.keep_alive()) kept_ = std::move(call->stream);
     seq_ = list.seq;
-    if (list.whole) gap_ = false;
+    if (list.complete) gap_ = false;
     if (call->whole) fetch_ = false;
     // The next call goes out first, so that the watch never lapses.
     next();
-    if (list.whole || !list.hosts.empty() || on_request_) handlers_.told(list);
+    if (list.complete || !list.endpoints.empty() || polled_) handlers_.told(list);
 }
 
 // What it said may be wrong, so what is held from it may be too: the whole list is next.
-void Discovery::unsound(const std::shared_ptr<Call>& call, const std::string& why) {
+void DiscoveryClient::unsound(const std::shared_ptr<Call>& call, const std::string& why) {
     gap_ = true;
     failed(call, why);
 }
 
 // Drops the call under way; false where that is another one by now.
-bool Discovery::drop_failed(const std::shared_ptr<Call>& call, const std::string& why) {
+bool DiscoveryClient::drop_failed(const std::shared_ptr<Call>& call, const std::string& why) {
     if (call_ != call) return false;
     log_line("discovery: " + why);
     if (tracing()) trace_event("discovery_call_failed", {{"why", why}, {"whole", call->whole}});
@@ -179,9 +181,9 @@
 
 // A call without an answer has told nothing: asking for what came after the list held misses nothing, and
 // costs discovery a few lines where the whole list costs it all of them.
-void Discovery::failed(const std::shared_ptr<Call>& call, const std::string& why) {
+void DiscoveryClient::failed(const std::shared_ptr<Call>& call, const std::string& why) {
     if (!drop_failed(call, why)) return;
-    if (on_request_) {
+    if (polled_) {
         active_ = false, fetch_ = false;
         return handlers_.failed();
     }
@@ -190,12 +192,12 @@
 
 // Silence has taken more time than any pause would. Another pause on top of it would leave the next call,
 // which may be turned away, too little of the time within which a change counts as told.
-void Discovery::given_up(const std::shared_ptr<Call>& call, const std::string& why) {
+void DiscoveryClient::given_up(const std::shared_ptr<Call>& call, const std::string& why) {
     if (drop_failed(call, why)) call_again_soon();
 }
 
 // Soon, for a list that has moved on costs requests; not in step with others, and not in a spin.
-void Discovery::call_again_soon() {
+void DiscoveryClient::call_again_soon() {
     pause_.expires_after(std::chrono::milliseconds(50 + random_.below(100)));
     pause_.async_wait([this](error_code ec) {
         if (!ec) next();
--- a/src/discovery/discovery_client.hpp
+++ b/src/discovery/discovery_client.hpp
@@ -13,18 +13,18 @@
 
 namespace ochregrade::sidecar {
 
-class Discovery {
+class DiscoveryClient {
 public:
     struct Handlers {
-        std::function<void(const HostList&)> told;
+        std::function<void(const EndpointList&)> told;
         // Where lists are asked for: the call or the watch broke. Whoever is told calls watch() again, after
         // a pause of its own. A call that got no answer in its time is repeated here and not told.
         std::function<void()> failed;
     };
     // known: the number of the list held already. on_request: lists are asked for, and their failure told.
     // seed: of how long calls wait.
-    Discovery(asio::io_context& io, const tcp::endpoint& at, std::optional<std::uint64_t> known,
-              bool on_request, std::uint64_t seed, Handlers handlers);
+    DiscoveryClient(asio::io_context& io, const tcp::endpoint& at, std::optional<std::uint64_t> known,
+                    bool on_request, std::uint64_t seed, Handlers handlers);
 
     void watch(bool active);  // where lists are pushed, active from the start
     void fetch();             // the whole list, once
@@ -32,17 +32,17 @@
     // How often discovery was found to count anew, from 1: a list is known by this and its number.
     std::uint32_t incarnation() const { return incarnation_; }
     // The whole list now, whatever is under way: others hold a newer one, of that incarnation and number.
-    void ask_now(std::uint32_t incarnation, std::uint64_t seq);
-    void set_on_request(bool on_request) { on_request_ = on_request; }
+    void poll_now(std::uint32_t incarnation, std::uint64_t seq);
+    void set_polled(bool on_request) { polled_ = on_request; }
     // From now on another address is asked, from the whole list on. What the old one still says is dropped.
-    void move_to(const tcp::endpoint& to);
+    void set_address(const tcp::endpoint& to);
 
 private:
     struct Call;
     void next();
     void call(bool whole);
     void answered(const std::shared_ptr<Call>& call);
-    bool counts_anew(const HostList& list);
+    bool counts_anew(const EndpointList& list);
     void unsound(const std::shared_ptr<Call>& call, const std::string& why);
     bool drop_failed(const std::shared_ptr<Call>& call, const std::string& why);
     void failed(const std::shared_ptr<Call>& call, const std::string& why);
@@ -63,7 +63,7 @@
     // Whole lists with lower numbers than ours, since when, and the last one's number.
     std::optional<std::chrono::steady_clock::time_point> lower_since_;
     std::uint64_t lower_seq_ = 0;
-    bool on_request_;
+    bool polled_;
     bool active_ = false;
     bool gap_ = false;  // something may have been missed: the whole list is next
     bool fetch_ = false;
--- a/src/discovery/start_times.hpp
+++ b/src/discovery/start_times.hpp
@@ -1,5 +1,5 @@
-// When servers started, on this process's monotonic clock. Discovery tells it as Unix time, by a wall clock
-// that may have been stepped since this process read it, or between two servers' starts.
+// When servers started, on this process's monotonic clock. DiscoveryClient tells it as Unix time, by a wall
+// clock that may have been stepped since this process read it, or between two servers' starts.
 #pragma once
 
 #include <algorithm>
--- a/src/fleet/gossip_transport.hpp
+++ b/src/fleet/gossip_transport.hpp
@@ -12,18 +12,19 @@
 
 namespace ochregrade::sidecar {
 
-class Peers : public std::enable_shared_from_this<Peers> {
+class GossipTransport : public std::enable_shared_from_this<GossipTransport> {
 public:
-    using Heard = std::function<void(std::uint32_t from, std::vector<std::uint8_t> bytes)>;
-    Peers(asio::io_context& io, const udp::endpoint& at, Heard heard);  // throws if it can't listen
+    using OnReceived = std::function<void(std::uint32_t from, std::vector<std::uint8_t> bytes)>;
+    GossipTransport(asio::io_context& io, const udp::endpoint& at,
+                    OnReceived on_received);  // throws if it can't listen
 
     // Whom the numbers mean from here on.
-    void use(std::vector<udp::endpoint> peers, std::optional<udp::endpoint> all);
+    void set_peers(std::vector<udp::endpoint> peers, std::optional<udp::endpoint> all);
     void listen();  // once, when it is in use
     void stop();    // nothing is heard any more
     udp::endpoint endpoint() const { return at_; }
 
-    void tell(std::optional<std::uint32_t> to, const std::vector<std::uint8_t>& bytes);
+    void send(std::optional<std::uint32_t> to, const std::vector<std::uint8_t>& bytes);
 
 private:
     static constexpr std::size_t kLongest = 256;
@@ -32,7 +33,7 @@
     std::vector<udp::endpoint> peers_;
     std::optional<udp::endpoint> all_;
     bool stopped_ = false;
-    Heard heard_;
+    OnReceived on_received_;
     udp::socket socket_;
     udp::endpoint from_;
     std::array<std::uint8_t, kLongest + 1> bytes_{};  // one more shows what is over-long
--- a/src/lab/record.cpp
+++ b/src/lab/record.cpp
@@ -8,7 +8,7 @@
 namespace ochregrade::lab {
 
 const char* outcome_name(Outcome outcome) {
-    static const char* const kNames[kOutcomes] = {"served", "refused", "failed", "lost", "unreachable"};
+    static const char* const kNames[kOutcomeCount] = {"served", "refused", "failed", "lost", "unreachable"};
     return kNames[static_cast<int>(outcome)];
 }
 
--- a/src/lab/record.hpp
+++ b/src/lab/record.hpp
@@ -10,7 +10,7 @@
 namespace ochregrade::lab {
 
 enum class Outcome { served, refused, failed, lost, unreachable };
-constexpr int kOutcomes = 5;
+constexpr int kOutcomeCount = 5;
 const char* outcome_name(Outcome outcome);
 
 // A client's correlation id carries its sidecar's number, so that a server stand-in knows who sent a request.
@@ -49,14 +49,14 @@
         std::vector<std::uint8_t> sent_since_cold;  // per sidecar
     };
     struct Sidecar {
-        std::uint64_t outcomes[kOutcomes] = {};
+        std::uint64_t outcomes[kOutcomeCount] = {};
         double latency_sum_ms = 0;
     };
     struct Class {
-        std::uint64_t outcomes[kOutcomes] = {};
+        std::uint64_t outcomes[kOutcomeCount] = {};
     };
     struct Second {
-        std::uint64_t outcomes[kOutcomes] = {};
+        std::uint64_t outcomes[kOutcomeCount] = {};
         std::uint64_t discovery_calls = 0, datagrams = 0, datagram_bytes = 0, datagrams_dropped = 0;
     };
 
--- a/src/lab/report.cpp
+++ b/src/lab/report.cpp
@@ -117,10 +117,10 @@
                                                              server.last_sender_second.end(),
                                                              [&](std::int32_t s) { return s >= from; })));
     }
-    std::uint64_t totals[kOutcomes] = {};
+    std::uint64_t totals[kOutcomeCount] = {};
     int silent_sidecars = 0;
     for (const Recorder::Sidecar& sidecar : recorder.sidecars()) {
-        for (int o = 0; o < kOutcomes; ++o) totals[o] += sidecar.outcomes[o];
+        for (int o = 0; o < kOutcomeCount; ++o) totals[o] += sidecar.outcomes[o];
         silent_sidecars += sidecar.outcomes[static_cast<int>(Outcome::served)] == 0;
     }
     std::uint64_t calls = 0, datagrams = 0, bytes = 0, dropped = 0;
@@ -132,7 +132,7 @@
     }
     nlohmann::json outcomes;
     std::uint64_t all = 0;
-    for (int o = 0; o < kOutcomes; ++o) {
+    for (int o = 0; o < kOutcomeCount; ++o) {
         outcomes[outcome_name(static_cast<Outcome>(o))] = totals[o];
         all += totals[o];
     }
--- a/src/lab/simulated_network.hpp
+++ b/src/lab/simulated_network.hpp
@@ -43,7 +43,7 @@
     // Runs until `done` says so or the time is over; looks every `look` ms. Returns whether it was.
     bool run_until(const std::function<bool()>& done, Millis at_most, Millis look = 10);
 
-    void say(std::size_t i, replication::ServerKey server, const replication::Evidence& evidence);
+    void say(std::size_t i, replication::EndpointKey server, const replication::Evidence& evidence);
     void say(std::size_t i, const replication::Versions& versions);
     // As if `from` had sent these bytes, whatever it is.
     void inject(std::size_t from, std::size_t to, replication::Bytes bytes);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -28,7 +28,7 @@
 }
 
 std::unique_ptr<asio::signal_set> open_signals(asio::io_context& io, std::initializer_list<int> numbers) {
-    return open_patiently([&] {
+    return open_with_retry([&] {
         auto set = std::make_unique<asio::signal_set>(io);
         for (const int number : numbers) set->add(number);
         return set;
@@ -59,7 +59,7 @@
 
 void run() {
     mask_signals(SIG_BLOCK);
-    const auto io = open_patiently([] { return std::make_unique<asio::io_context>(1); });
+    const auto io = open_with_retry([] { return std::make_unique<asio::io_context>(1); });
     const auto stop = open_signals(*io, {SIGTERM, SIGINT}), reload = open_signals(*io, {SIGHUP});
     mask_signals(SIG_UNBLOCK);
     serve(*io, *stop, *reload);
--- a/src/process/node.cpp
+++ b/src/process/node.cpp
@@ -55,8 +55,8 @@
     return static_cast<std::size_t>(static_cast<double>(connections(config)) * kForClients);
 }
 
-Upstream::Limits upstream_limits(const Config& config) {
-    return {config.connect_timeout, config.idle_close, connections(config) - from_clients(config), kSettle};
+UpstreamPool::Limits upstream_limits(const Config& config) {
+    return {config.connect_timeout, config.idle_timeout, connections(config) - from_clients(config), kSettle};
 }
 Listener::Limits listener_limits(const Config& config) {
     return {from_clients(config) - 1,  // it takes one over the limit
@@ -73,7 +73,7 @@
 }
 
 // Settings that count epochs go forward only, and an epoch means the same settings everywhere.
-void check_epoch(const Config& config, const Snapshot& running) {
+void check_epoch(const Config& config, const ConfigSnapshot& running) {
     if (config.epoch < running.epoch)
         throw ConfigError("ochregrade.epoch", "goes back from " + std::to_string(running.epoch) +
                                                   ": what was before needs a newer epoch too");
@@ -82,27 +82,27 @@
         throw ConfigError("ochregrade.epoch", "is in force already, with other settings");
 }
 
-Change refusal(std::uint64_t generation, std::vector<Complaint> complaints) {
-    return {Change::Result::refused, generation, std::move(complaints), {}};
+ConfigChange refusal(std::uint64_t generation, std::vector<ValidationError> complaints) {
+    return {ConfigChange::Result::refused, generation, std::move(complaints), {}};
 }
 
 }  // namespace
 
-const char* word(Change::Result result) {
+const char* to_string(ConfigChange::Result result) {
     switch (result) {
-        case Change::Result::applied:
+        case ConfigChange::Result::applied:
             return "applied";
-        case Change::Result::unchanged:
+        case ConfigChange::Result::unchanged:
             return "unchanged";
-        case Change::Result::staged:
+        case ConfigChange::Result::staged:
             return "staged";
-        case Change::Result::sound:
+        case ConfigChange::Result::sound:
             return "sound";
-        case Change::Result::refused:
+        case ConfigChange::Result::refused:
             return "refused";
-        case Change::Result::conflict:
+        case ConfigChange::Result::conflict:
             return "conflict";
-        case Change::Result::missing:
+        case ConfigChange::Result::missing:
             break;
     }
     return "missing";
@@ -110,21 +110,21 @@
 
 // What a commit needs, with all that could fail behind it.
 struct Node::Prepared {
-    std::shared_ptr<Snapshot> snapshot;
-    std::shared_ptr<Peers> peers;  // the ones in use, others, or none
+    std::shared_ptr<ConfigSnapshot> snapshot;
+    std::shared_ptr<GossipTransport> peers;  // the ones in use, others, or none
     bool other_peers = false;
 };
 
 namespace {
 Start plain(Config config) {
     Start s;
-    s.file = config.document;
+    s.file_document = config.document;
     s.config = std::move(config);
     return s;
 }
-std::uint64_t first_number(Generations& generations, const Recovered& recovered) {
-    generations.go_on_from(recovered.next);
-    return generations.next();
+std::uint64_t first_number(ConfigVersions& generations, const RecoveredState& recovered) {
+    generations.continue_from(recovered.next_version);
+    return generations.next_version();
 }
 }  // namespace
 
@@ -133,49 +133,52 @@
 Node::Node(asio::io_context& io, Start start)
     : io_(io),
       keeper_(std::move(start.keeper)),
-      file_(start.file),
+      file_(start.file_document),
       sidecar_(io, clock_, zones_, snapshot_of(start.config, first_number(generations_, start.recovered)),
                upstream_limits(start.config)),
       listener_(io, clock_, sidecar_, listener_limits(start.config)),
-      peers_(listen_patiently("peer_listen", start.config.peer_listen.value_or(udp::endpoint()),
-                              [&] { return open_peers(start.config); })),
+      peers_(listen_with_retry("peer_listen", start.config.peer_listen.value_or(udp::endpoint()),
+                               [&] { return open_peers(start.config); })),
       // A stored list is a start and no more: discovery may count anew by now, so the whole list comes first.
       discovery_(
-          io, start.config.discovery,
-          start.config.known && !start.stored_list ? std::optional(start.config.known->seq) : std::nullopt,
-          start.config.settings.list_on_request, ~start.config.seed,
-          {[this](const HostList& list) { listed(list); }, [this] { sidecar_.list_failed(); }}),
+          io, start.config.discovery_address,
+          start.config.known_endpoints && !start.endpoints_restored
+              ? std::optional(start.config.known_endpoints->seq)
+              : std::nullopt,
+          start.config.settings.polled_discovery, ~start.config.seed,
+          {[this](const EndpointList& list) { listed(list); }, [this] { sidecar_.endpoints_failed(); }}),
       timer_(io),
       trial_timer_(io),
       keep_timer_(io),
       reread_timer_(io) {
     const Config& config = sidecar_.snapshot()->config;
-    generations_.restore(std::move(start.recovered.kept));
-    generations_.committed(sidecar_.snapshot(), start.source, generations_.first_to_say(config.document), {},
-                           clock_.now());
+    generations_.restore(std::move(start.recovered.versions));
+    generations_.commit(sidecar_.snapshot(), start.source, generations_.first_with(config.document), {},
+                        clock_.now());
     if (peers_) {
-        peers_->use(config.peers, config.peers_all);
+        peers_->set_peers(config.peers, config.peers_all);
         peers_->listen();
     }
     sidecar_.connect_to(discovery_, peers_.get());
-    sidecar_.on_answer = [this](std::uint64_t generation, bool served) {
-        generations_.answered(generation, served, clock_.now());
+    sidecar_.on_final_answer = [this](std::uint64_t generation, bool served) {
+        generations_.record_answer(generation, served, clock_.now());
     };
-    listener_.on_misfit = [this](const SnapshotPtr& snapshot, const HttpRequest& head) {
+    listener_.on_invalid_request = [this](const ConfigSnapshotPtr& snapshot, const HttpRequest& head) {
         misfit(snapshot, head);
     };
-    sidecar_.on_share = [this](replication::ServerKey server, const replication::Evidence& evidence) {
-        if (shared_) shared_->say(server, evidence);
+    sidecar_.on_evidence = [this](replication::EndpointKey server, const replication::Evidence& evidence) {
+        if (shared_) shared_->publish(server, evidence);
     };
     listener_.listen(config.listen);
-    if (config.admin)
-        admin_ = listen_patiently("ochregrade.admin.listen", *config.admin,
-                                  [&] { return std::make_unique<Admin>(io, *this, *config.admin); });
+    if (config.operator_endpoint)
+        admin_ = listen_with_retry("ochregrade.admin.listen", *config.operator_endpoint, [&] {
+            return std::make_unique<OperatorEndpoint>(io, *this, *config.operator_endpoint);
+        });
     sidecar_.start();
-    if (!start.recovered.learnt.empty()) sidecar_.recall(start.recovered.learnt);
-    if (!config.settings.list_on_request) discovery_.watch(true);
+    if (!start.recovered.snapshots.empty()) sidecar_.restore(start.recovered.snapshots);
+    if (!config.settings.polled_discovery) discovery_.watch(true);
     listener_.open_for_use();
-    lived_after_ = config.lived;
+    lived_after_ = config.stable_uptime;
     keep_config();
     if (keeper_) keep_on();
     share(config);
@@ -201,7 +204,7 @@
     timer_.expires_after(kAcceptOn - kAskAgain);
     timer_.async_wait([this](error_code ec) {
         if (ec) return;
-        listener_.close_quiet();
+        listener_.close_idle();
         timer_.expires_after(kAskAgain);
         timer_.async_wait([this](error_code stop) {
             if (!stop) wind_down();
@@ -211,44 +214,46 @@
 
 // ---- Changes of the configuration -------------------------------------------------------------------------
 
-std::shared_ptr<Snapshot> Node::snapshot_of(Config config, std::uint64_t generation) {
-    auto snapshot = std::make_shared<Snapshot>();
-    snapshot->generation = generation;
+std::shared_ptr<ConfigSnapshot> Node::snapshot_of(Config config, std::uint64_t generation) {
+    auto snapshot = std::make_shared<ConfigSnapshot>();
+    snapshot->version = generation;
     snapshot->epoch = config.epoch;
     Settings settings = config.settings;
-    settings.share = config.shares();
-    if (config.my_zone) settings.my_zone = zones_.number(*config.my_zone);
+    settings.evidence_shared = config.joins_replication();
+    if (config.local_zone) settings.local_zone = zones_.number(*config.local_zone);
     snapshot->settings = std::make_shared<const Settings>(std::move(settings));
     snapshot->config = std::move(config);
     return snapshot;
 }
 
-std::shared_ptr<Peers> Node::open_peers(const Config& config) {
-    if (!config.peer_listen || !config.settings.may_tell) return nullptr;
-    return std::make_shared<Peers>(io_, *config.peer_listen,
-                                   [this](std::uint32_t from, std::vector<std::uint8_t> bytes) {
-                                       if (!replication::is_shared_state(bytes))
-                                           return sidecar_.peer_said(from, std::move(bytes));
-                                       if (shared_) shared_->heard(from, bytes);
-                                   });
+std::shared_ptr<GossipTransport> Node::open_peers(const Config& config) {
+    if (!config.peer_listen || !config.settings.gossip_allowed) return nullptr;
+    return std::make_shared<GossipTransport>(io_, *config.peer_listen,
+                                             [this](std::uint32_t from, std::vector<std::uint8_t> bytes) {
+                                                 if (!replication::is_shared_state(bytes))
+                                                     return sidecar_.gossip_received(from, std::move(bytes));
+                                                 if (shared_) shared_->receive(from, bytes);
+                                             });
 }
 
 // Its place in the fleet may be another from here on; what it said so far is then forgotten by its life's
 // end.
 void Node::share(const Config& config) {
-    if (shared_ && shared_->serves(config)) return;
+    if (shared_ && shared_->matches(config)) return;
     if (shared_) shared_->leave();
     shared_.reset();
-    if (!config.shares() || !peers_) return;
-    shared_ = std::make_unique<Shared>(
+    if (!config.joins_replication() || !peers_) return;
+    shared_ = std::make_unique<ReplicationDriver>(
         io_, clock_, config,
-        Shared::Handlers{
+        ReplicationDriver::Handlers{
             [this](std::optional<std::uint32_t> to, const std::vector<std::uint8_t>& bytes) {
-                if (peers_) peers_->tell(to, bytes);
+                if (peers_) peers_->send(to, bytes);
+            },
+            [this] { sidecar_.evidence_received(shared_->replica().evidence()); },
+            [this](const replication::VersionId& claimed) {
+                discovery_.poll_now(claimed.major, claimed.minor);
             },
-            [this] { sidecar_.fleet_said(shared_->replica().evidence()); },
-            [this](const replication::Place& claimed) { discovery_.ask_now(claimed.major, claimed.minor); },
-            [this](const replication::Place&) { reload(); }});
+            [this](const replication::VersionId&) { reload(); }});
     shared_->start();
     say_versions();
 }
@@ -256,7 +261,7 @@
 // What it acts on, to the others and to the log: the log's times are what the lab checks agreement by.
 void Node::say_versions() {
     if (!shared_) return;
-    const Snapshot& s = *sidecar_.snapshot();
+    const ConfigSnapshot& s = *sidecar_.snapshot();
     const auto seq = std::min<std::uint64_t>(discovery_.seq(), std::numeric_limits<std::uint32_t>::max());
     const replication::Versions now{s.epoch, s.epoch ? s.config.settings_hash : 0, discovery_.incarnation(),
                                     static_cast<std::uint32_t>(seq)};
@@ -267,14 +272,15 @@
         log_line(line);
     }
     acting_ = now;
-    shared_->acts_on(now, std::max(settled_, s.epoch));
+    shared_->set_versions(now, std::max(settled_, s.epoch));
 }
 
-void Node::listed(const HostList& list) {
-    sidecar_.told(list);
+void Node::listed(const EndpointList& list) {
+    sidecar_.endpoints_received(list);
     if (shared_)
-        for (const Host& host : list.hosts)
-            if (host.phase != Phase::on) shared_->closed(sidecar_.key_of(host));
+        for (const ListedEndpoint& host : list.endpoints)
+            if (host.state != EndpointState::serving)
+                shared_->report_withdrawn(sidecar_.endpoint_key_of(host));
     say_versions();
 }
 
@@ -282,7 +288,7 @@
     Prepared p;
     const Config& running = sidecar_.snapshot()->config;
     check_descriptors(config, running);
-    const bool wanted = config.peer_listen && config.settings.may_tell;
+    const bool wanted = config.peer_listen && config.settings.gossip_allowed;
     p.other_peers = wanted ? !peers_ || peers_->endpoint() != *config.peer_listen : peers_ != nullptr;
     if (!p.other_peers) {
         p.peers = peers_;
@@ -293,13 +299,13 @@
             throw ConfigError("peer_listen", "can't be listened on: " + error.code().message());
         }
     }
-    if (p.peers && p.other_peers) p.peers->use(config.peers, config.peers_all);
-    p.snapshot = snapshot_of(std::move(config), generations_.next());
+    if (p.peers && p.other_peers) p.peers->set_peers(config.peers, config.peers_all);
+    p.snapshot = snapshot_of(std::move(config), generations_.next_version());
     return p;
 }
 
 // What an earlier life kept was not read with this one's fixed fields.
-Node::Prepared Node::prepare_again(const Generations::Entry& entry) {
+Node::Prepared Node::prepare_again(const ConfigVersions::Entry& entry) {
     const Config& running = sidecar_.snapshot()->config;
     nlohmann::json document = nlohmann::json::parse(entry.snapshot->config.document);
     const nlohmann::json now = nlohmann::json::parse(running.document);
@@ -312,29 +318,29 @@
 }
 
 // Nothing here waits or can be refused: from the first line to the last nothing else happens in this process.
-void Node::commit(Prepared p, Generations::Source source, std::uint64_t content, const TrialRule& rule) {
+void Node::commit(Prepared p, ConfigVersions::Source source, std::uint64_t content, const CanaryRule& rule) {
     const Millis start = clock_.now();
     const Config& config = p.snapshot->config;
-    const SnapshotPtr before = sidecar_.snapshot();  // to the end, whoever else lets go of it
-    const bool back = source == Generations::Source::rollback || source == Generations::Source::trial;
+    const ConfigSnapshotPtr before = sidecar_.snapshot();  // to the end, whoever else lets go of it
+    const bool back = source == ConfigVersions::Source::rollback || source == ConfigVersions::Source::canary;
     if (back && before->epoch > 0) p.snapshot->epoch = before->epoch + 1;
-    discovery_.set_on_request(config.settings.list_on_request);
-    sidecar_.use(p.snapshot, upstream_limits(config));
+    discovery_.set_polled(config.settings.polled_discovery);
+    sidecar_.apply(p.snapshot, upstream_limits(config));
     if (p.other_peers) {
         if (peers_) peers_->stop();
         peers_ = std::move(p.peers);
         if (peers_) peers_->listen();
         sidecar_.connect_to(discovery_, peers_.get());
     } else if (peers_) {
-        peers_->use(config.peers, config.peers_all);
+        peers_->set_peers(config.peers, config.peers_all);
     }
     share(config);
     listener_.set_limits(listener_limits(config));
-    discovery_.move_to(config.discovery);
-    if (!config.settings.list_on_request) discovery_.watch(true);
-    generations_.committed(p.snapshot, source, content, rule, start);
-    log_line("generation " + std::to_string(p.snapshot->generation) + " of the configuration is in force (" +
-             word(source) + ")");
+    discovery_.set_address(config.discovery_address);
+    if (!config.settings.polled_discovery) discovery_.watch(true);
+    generations_.commit(p.snapshot, source, content, rule, start);
+    log_line("generation " + std::to_string(p.snapshot->version) + " of the configuration is in force (" +
+             to_string(source) + ")");
     keep_config();
     say_versions();
     watch_trial();
@@ -343,16 +349,16 @@
 }
 
 void Node::keep_config() {
-    if (keeper_) keeper_->keep_config(generations_, file_);
+    if (keeper_) keeper_->save_config(generations_, file_);
 }
 
 void Node::keep_world() {
     if (!keeper_ || discovery_.seq() == 0) return;  // what discovery has not told is no news
-    HostList list = sidecar_.list();
+    EndpointList list = sidecar_.endpoints();
     list.seq = discovery_.seq();
     std::ostringstream at;
-    at << sidecar_.snapshot()->config.discovery;
-    keeper_->keep_world(list, at.str(), sidecar_.learnt());
+    at << sidecar_.snapshot()->config.discovery_address;
+    keeper_->save_endpoints(list, at.str(), sidecar_.endpoint_snapshots());
 }
 
 void Node::keep_on() {
@@ -362,28 +368,28 @@
         if (ec) return;
         if (!lived_ && clock_.now() >= started_ + lived_after_) {
             lived_ = true;
-            keeper_->lived();
+            keeper_->confirm_stable_uptime();
         }
         keep_world();
         keep_on();
     });
 }
 
-Change Node::change(const nlohmann::json& candidate, Generations::Source source, bool strict,
-                    const ChangeOptions& options) {
+ConfigChange Node::change(const nlohmann::json& candidate, ConfigVersions::Source source, bool strict,
+                          const ConfigChangeOptions& options) {
     const Millis start = clock_.now();
-    const SnapshotPtr running = sidecar_.snapshot();
-    if (options.expected && *options.expected != running->generation)
-        return {Change::Result::conflict, running->generation, {}, "another generation is in force"};
+    const ConfigSnapshotPtr running = sidecar_.snapshot();
+    if (options.expected && *options.expected != running->version)
+        return {ConfigChange::Result::conflict, running->version, {}, "another generation is in force"};
     try {
         Config config = read_candidate(candidate, running->config, strict);
-        const TrialRule rule = options.trial.value_or(config.trial);
+        const CanaryRule rule = options.trial.value_or(config.canary);
         if (!strict) log_unknown_fields(candidate);
         if (config.document == running->config.document) {
-            if (!options.dry_run && source == Generations::Source::file) file_ = config.document;
+            if (!options.dry_run && source == ConfigVersions::Source::file) file_ = config.document;
             keep_config();
             counts_.unchanged += options.dry_run ? 0 : 1;
-            return {Change::Result::unchanged, running->generation, {}, {}};
+            return {ConfigChange::Result::unchanged, running->version, {}, {}};
         }
         check_epoch(config, *running);
         if (!config.in_rollout()) {
@@ -393,43 +399,43 @@
                 settled_ = std::max(settled_, config.epoch);
                 say_versions();
             }
-            return {Change::Result::staged, running->generation, {}, {}};
+            return {ConfigChange::Result::staged, running->version, {}, {}};
         }
         if (options.dry_run) check_descriptors(config, running->config);
-        if (options.dry_run) return {Change::Result::sound, running->generation, {}, {}};
+        if (options.dry_run) return {ConfigChange::Result::sound, running->version, {}, {}};
         Prepared prepared = prepare(std::move(config));
-        if (source == Generations::Source::file) file_ = prepared.snapshot->config.document;
+        if (source == ConfigVersions::Source::file) file_ = prepared.snapshot->config.document;
         commit(std::move(prepared), source, 0, rule);
     } catch (const ConfigError& error) {
         counts_.refused += options.dry_run ? 0 : 1;
-        return refusal(running->generation, error.complaints);
+        return refusal(running->version, error.errors);
     } catch (const std::exception& error) {  // memory above all
         counts_.refused += options.dry_run ? 0 : 1;
-        return refusal(running->generation, {{"the configuration", error.what()}});
+        return refusal(running->version, {{"the configuration", error.what()}});
     }
     ++counts_.applied;
     counts_.last_change = clock_.now() - start;
     counts_.longest_change = std::max(counts_.longest_change, counts_.last_change);
-    return {Change::Result::applied, sidecar_.snapshot()->generation, {}, {}};
+    return {ConfigChange::Result::applied, sidecar_.snapshot()->version, {}, {}};
 }
 
-Change Node::roll_back(std::optional<std::uint64_t> to, std::optional<std::uint64_t> expected) {
-    const std::uint64_t now = sidecar_.snapshot()->generation;
+ConfigChange Node::roll_back(std::optional<std::uint64_t> to, std::optional<std::uint64_t> expected) {
+    const std::uint64_t now = sidecar_.snapshot()->version;
     if (expected && *expected != now)
-        return {Change::Result::conflict, now, {}, "another generation is in force"};
-    const Generations::Entry* target = to ? generations_.find(*to) : generations_.previous();
-    if (!target && to) return {Change::Result::missing, now, {}, "that generation is not kept"};
-    if (!target) return {Change::Result::conflict, now, {}, "no older generation is kept"};
-    if (target->number() == now) return {Change::Result::unchanged, now, {}, {}};
-    const std::uint64_t content = target->content;
+        return {ConfigChange::Result::conflict, now, {}, "another generation is in force"};
+    const ConfigVersions::Entry* target = to ? generations_.find(*to) : generations_.previous();
+    if (!target && to) return {ConfigChange::Result::missing, now, {}, "that generation is not kept"};
+    if (!target) return {ConfigChange::Result::conflict, now, {}, "no older generation is kept"};
+    if (target->number() == now) return {ConfigChange::Result::unchanged, now, {}, {}};
+    const std::uint64_t content = target->content_version;
     try {
-        commit(prepare_again(*target), Generations::Source::rollback, content, {});
+        commit(prepare_again(*target), ConfigVersions::Source::rollback, content, {});
     } catch (const ConfigError& error) {
         ++counts_.refused;
-        return refusal(now, error.complaints);
+        return refusal(now, error.errors);
     }
     ++counts_.rolled_back;
-    return {Change::Result::applied, sidecar_.snapshot()->generation, {}, {}};
+    return {ConfigChange::Result::applied, sidecar_.snapshot()->version, {}, {}};
 }
 
 void Node::reload() {
@@ -445,11 +451,11 @@
 // himself.
 void Node::take_file(int reads) {
     reread_timer_.cancel();
-    Change done;
+    ConfigChange done;
     try {
-        done = change(reload_document(), Generations::Source::file, false, {});
+        done = change(reload_document(), ConfigVersions::Source::file, false, {});
     } catch (const ConfigError& error) {
-        done.complaints = error.complaints;
+        done.complaints = error.errors;
         if (reads > 1) {
             reread_timer_.expires_after(kReread);
             reread_timer_.async_wait([this, reads](error_code ec) {
@@ -459,36 +465,36 @@
         if (reads < kReads) return;
         ++counts_.refused;
     }
-    if (done.result != Change::Result::refused) return;
-    for (const Complaint& c : done.complaints)
+    if (done.result != ConfigChange::Result::refused) return;
+    for (const ValidationError& c : done.complaints)
         log_line("the old configuration stays in force: " + c.field + " " + c.what);
 }
 
 // A request that the new configuration turns away though the one before would have taken it: to the client
 // that is one not served. What neither takes says nothing of either.
-void Node::misfit(const SnapshotPtr& snapshot, const HttpRequest& head) {
-    const auto& trial = generations_.trial();
-    if (!trial || snapshot->generation != generations_.current().number()) return;
-    const Generations::Entry* before = generations_.find(trial->fallback);
+void Node::misfit(const ConfigSnapshotPtr& snapshot, const HttpRequest& head) {
+    const auto& trial = generations_.canary();
+    if (!trial || snapshot->version != generations_.current().number()) return;
+    const ConfigVersions::Entry* before = generations_.find(trial->fallback);
     if (before && !form_fault(head, before->snapshot->config))
-        generations_.answered(snapshot->generation, false, clock_.now());
+        generations_.record_answer(snapshot->version, false, clock_.now());
 }
 
 void Node::watch_trial() {
     trial_timer_.cancel();
-    if (!generations_.trial() || stopped_) return;
-    const Millis look = std::clamp(generations_.trial()->rule.bake / 50, kShortLook, kLongLook);
+    if (!generations_.canary() || stopped_) return;
+    const Millis look = std::clamp(generations_.canary()->rule.duration / 50, kShortLook, kLongLook);
     trial_timer_.expires_at(clock_.point(clock_.now() + look));
     trial_timer_.async_wait([this](error_code ec) {
         if (ec) return;
         const auto back = generations_.due(clock_.now());
-        if (!generations_.trial()) keep_config();  // it is over, and well
+        if (!generations_.canary()) keep_config();  // it is over, and well
         if (back) {
             log_line("generation " + std::to_string(generations_.current().number()) +
                      " is taken back: " + back->why);
             try {
-                const std::uint64_t content = back->to->content;
-                commit(prepare_again(*back->to), Generations::Source::trial, content, {});
+                const std::uint64_t content = back->to->content_version;
+                commit(prepare_again(*back->to), ConfigVersions::Source::canary, content, {});
                 ++counts_.taken_back;
                 return;
             } catch (const std::exception& error) {  // tried again at the next look
@@ -501,13 +507,13 @@
 
 void Node::wind_down() {
     const bool all_taken = listener_.stop_accepting();
-    listener_.close_quiet();
-    if (clock_.now() >= tell_off_at_) listener_.tell_off();
+    listener_.close_idle();
+    if (clock_.now() >= tell_off_at_) listener_.reject_incomplete();
     // Requests that began under an older configuration may have longer deadlines than the one in force at the
     // signal; each of them ends at its own.
-    if (sidecar_.unanswered() == 0 && ((all_taken && !listener_.busy()) || clock_.now() >= stop_at_)) {
+    if (sidecar_.pending_requests() == 0 && ((all_taken && !listener_.busy()) || clock_.now() >= stop_at_)) {
         keep_world();
-        if (keeper_) keeper_->lived();
+        if (keeper_) keeper_->confirm_stable_uptime();
         return stopped_();
     }
     timer_.expires_after(kLook);
--- a/src/process/node.hpp
+++ b/src/process/node.hpp
@@ -14,10 +14,10 @@
 
 namespace ochregrade::sidecar {
 
-class Admin;
+class OperatorEndpoint;
 
 // How a change of the configuration ended.
-struct Change {
+struct ConfigChange {
     enum class Result {
         applied,
         unchanged,  // it says what is in force
@@ -29,15 +29,15 @@
     };
     Result result = Result::refused;
     std::uint64_t generation = 0;  // in force now
-    std::vector<Complaint> complaints{};
+    std::vector<ValidationError> complaints{};
     std::string note{};
 };
-const char* word(Change::Result result);
+const char* to_string(ConfigChange::Result result);
 
-struct ChangeOptions {
+struct ConfigChangeOptions {
     bool dry_run = false;
     std::optional<std::uint64_t> expected{};  // the generation that must be in force
-    std::optional<TrialRule> trial{};         // in place of the candidate's own
+    std::optional<CanaryRule> trial{};        // in place of the candidate's own
 };
 
 class Node {
@@ -56,10 +56,10 @@
 
     // A candidate goes through all stages (it has been parsed): checked, prepared, committed in this turn of
     // the loop. Whatever fails leaves all as it was. `strict` refuses unknown fields.
-    Change change(const nlohmann::json& candidate, Generations::Source source, bool strict,
-                  const ChangeOptions& options);
-    // To a generation that is kept; without a number, to the one before (Generations::previous).
-    Change roll_back(std::optional<std::uint64_t> to, std::optional<std::uint64_t> expected);
+    ConfigChange change(const nlohmann::json& candidate, ConfigVersions::Source source, bool strict,
+                        const ConfigChangeOptions& options);
+    // To a generation that is kept; without a number, to the one before (ConfigVersions::previous).
+    ConfigChange roll_back(std::optional<std::uint64_t> to, std::optional<std::uint64_t> expected);
 
     struct Counts {
         std::uint64_t applied = 0, refused = 0, unchanged = 0, rolled_back = 0, taken_back = 0;
@@ -67,47 +67,50 @@
         Millis last_change = 0, longest_change = 0;  // and with reading, checking and preparing
     };
     const Counts& counts() const { return counts_; }
-    const Generations& generations() const { return generations_; }
-    const Sidecar& sidecar() const { return sidecar_; }
+    const ConfigVersions& generations() const { return generations_; }
+    const BalancerDriver& sidecar() const { return sidecar_; }
     const Listener& listener() const { return listener_; }
-    const Discovery& discovery() const { return discovery_; }
+    const DiscoveryClient& discovery() const { return discovery_; }
     const Clock& clock() const { return clock_; }
-    Peers* peers() { return peers_.get(); }                 // none: nothing may be told
-    const Shared* shared() const { return shared_.get(); }  // none: it takes no part in the shared state
-    Keeper* keeper() const { return keeper_.get(); }        // none: nothing is kept
+    GossipTransport* peers() { return peers_.get(); }  // none: nothing may be told
+    const ReplicationDriver* shared() const {
+        return shared_.get();
+    }                                                     // none: it takes no part in the shared state
+    StateStore* keeper() const { return keeper_.get(); }  // none: nothing is kept
     bool stopping() const { return static_cast<bool>(stopped_); }
-    Sidecar::Held held() const { return sidecar_.held(); }
+    BalancerDriver::Usage usage() const { return sidecar_.usage(); }
 
 private:
     struct Prepared;
-    std::shared_ptr<Snapshot> snapshot_of(Config config, std::uint64_t generation);
+    std::shared_ptr<ConfigSnapshot> snapshot_of(Config config, std::uint64_t generation);
     Prepared prepare(Config config);
-    Prepared prepare_again(const Generations::Entry& entry);
-    void commit(Prepared prepared, Generations::Source source, std::uint64_t content, const TrialRule& rule);
+    Prepared prepare_again(const ConfigVersions::Entry& entry);
+    void commit(Prepared prepared, ConfigVersions::Source source, std::uint64_t content,
+                const CanaryRule& rule);
     void share(const Config& config);
     void say_versions();
-    void listed(const HostList& list);
-    std::shared_ptr<Peers> open_peers(const Config& config);
+    void listed(const EndpointList& list);
+    std::shared_ptr<GossipTransport> open_peers(const Config& config);
     void keep_config();
     void keep_world();
     void keep_on();
     void take_file(int reads);
     void watch_trial();
-    void misfit(const SnapshotPtr& snapshot, const HttpRequest& head);
+    void misfit(const ConfigSnapshotPtr& snapshot, const HttpRequest& head);
     void wind_down();
 
     asio::io_context& io_;
     Clock clock_;
-    std::unique_ptr<Keeper> keeper_;
+    std::unique_ptr<StateStore> keeper_;
     std::string file_;  // what the file said when it was last accepted
     Zones zones_;
-    Generations generations_;
-    Sidecar sidecar_;
+    ConfigVersions generations_;
+    BalancerDriver sidecar_;
     Listener listener_;
-    std::shared_ptr<Peers> peers_;
-    std::unique_ptr<Shared> shared_;
-    Discovery discovery_;
-    std::unique_ptr<Admin> admin_;
+    std::shared_ptr<GossipTransport> peers_;
+    std::unique_ptr<ReplicationDriver> shared_;
+    DiscoveryClient discovery_;
+    std::unique_ptr<OperatorEndpoint> admin_;
     asio::steady_timer timer_, trial_timer_, keep_timer_, reread_timer_;
     Counts counts_;
     replication::Versions acting_{};  // as last said
--- a/src/proxy/balancer_driver.cpp
+++ b/src/proxy/balancer_driver.cpp
@@ -13,14 +13,14 @@
 
 namespace ochregrade::sidecar {
 
-std::string_view name_of(EndReason reason) {
+std::string_view to_string(EndReason reason) {
     constexpr std::array<std::string_view, static_cast<std::size_t>(EndReason::count)> kNames = {
         "deadline", "no_capacity", "attempts_used", "retry_budget", "requests_behind"};
     return kNames.at(static_cast<std::size_t>(reason));
 }
 
-std::string_view name_of(Outcome outcome) {
-    constexpr std::array<std::string_view, kOutcomes> kNames = {
+std::string_view to_string(Outcome outcome) {
+    constexpr std::array<std::string_view, kOutcomeCount> kNames = {
         "ok", "error", "overloaded", "timeout", "no_connect", "reset_in_flight", "cancelled", "not_sent"};
     return kNames.at(static_cast<std::size_t>(outcome));
 }
@@ -31,8 +31,8 @@
     return numbers_.try_emplace(name, next).first->second;
 }
 
-Sidecar::Sidecar(asio::io_context& io, const Clock& clock, Zones& zones, SnapshotPtr snapshot,
-                 Upstream::Limits limits)
+BalancerDriver::BalancerDriver(asio::io_context& io, const Clock& clock, Zones& zones,
+                               ConfigSnapshotPtr snapshot, UpstreamPool::Limits limits)
     : io_(io),
       clock_(clock),
       zones_(zones),
@@ -43,20 +43,22 @@
           {[this](AttemptKey key, Outcome outcome, HttpResponse* response) {
                attempt_ended(key, outcome, response);
            },
-           [this](ServerId id, Outcome outcome, Millis duration) { probe_ended(id, outcome, duration); },
+           [this](EndpointId id, Outcome outcome, Millis duration) { probe_ended(id, outcome, duration); },
            [this](AttemptKey key, bool begun) { return may_write(key, begun); }}),
       timer_(io) {}
 
-Sidecar::~Sidecar() = default;
+BalancerDriver::~BalancerDriver() = default;
 
-void Sidecar::connect_to(Discovery& discovery, Peers* peers) { discovery_ = &discovery, peers_ = peers; }
+void BalancerDriver::connect_to(DiscoveryClient& discovery, GossipTransport* peers) {
+    discovery_ = &discovery, peers_ = peers;
+}
 
-void Sidecar::start() {
+void BalancerDriver::start() {
     push(Started{});
-    if (snapshot_->config.known) told(*snapshot_->config.known, true);
+    if (snapshot_->config.known_endpoints) endpoints_received(*snapshot_->config.known_endpoints, true);
 }
 
-void Sidecar::use(SnapshotPtr snapshot, Upstream::Limits limits) {
+void BalancerDriver::apply(ConfigSnapshotPtr snapshot, UpstreamPool::Limits limits) {
     pump();
     snapshot_ = std::move(snapshot);
     upstream_.set_limits(limits);
@@ -64,28 +66,28 @@
     pump();
 }
 
-Sidecar::Held Sidecar::held() const {
-    const Balancer::Held module = balancer_.held();
+BalancerDriver::Usage BalancerDriver::usage() const {
+    const Balancer::Usage module = balancer_.usage();
     return {requests_.size() + module.requests,
-            upstream_.out(),
+            upstream_.in_flight(),
             servers_.size(),
-            module.servers,
+            module.endpoints,
             upstream_.pools(),
             upstream_.open(),
-            module.removed};
+            module.ejected};
 }
 
 // ---- Events
 // -------------------------------------------------------------------------------------------------
 
-void Sidecar::push(Event event) {
+void BalancerDriver::push(Event event) {
     events_.push_back(std::move(event));
     if (pump_posted_) return;
     pump_posted_ = true;
     asio::post(io_, [this] { pump(); });
 }
 
-void Sidecar::pump() {
+void BalancerDriver::pump() {
     pump_posted_ = false;
     while (!events_.empty()) {
         const Event event = std::move(events_.front());
@@ -98,14 +100,14 @@
     arm();
 }
 
-RequestId Sidecar::arrived(RequestPtr message, Millis time_left, std::weak_ptr<Client> client,
-                           SnapshotPtr snapshot) {
+RequestId BalancerDriver::request_arrived(RequestPtr message, Millis time_left, std::weak_ptr<Client> client,
+                                          ConfigSnapshotPtr snapshot) {
     const RequestId id = next_request_++;
     ++totals_.arrived;
     RequestArrived event;
     event.id = id;
     event.time_left = time_left;
-    event.repeat = (*message)["X-Repeat"] == "1";
+    event.client_retry = (*message)["X-Repeat"] == "1";
     const auto hint = (*message)["X-Weight-Hint"];
     if (!hint.empty()) event.effort = std::max(0.0, std::atof(std::string(hint).c_str()) / 1000);
     const auto name = (*message)["X-Service-Class"];
@@ -116,183 +118,187 @@
     if (event.class_index < settings.classes.size()) request.facts.kind = settings.classes[event.class_index];
     request.facts.deadline = clock_.now() + time_left;
     request.facts.max_attempts = settings.max_attempts;
-    request.facts.parallel_tries = settings.parallel_tries;
+    request.facts.hedging_allowed = settings.hedging_allowed;
     request.correlation_id = std::string((*message)["X-Correlation-Id"]);
     request.message = std::move(message);
     request.client = std::move(client);
     request.snapshot = std::move(snapshot);
-    ++unanswered_;
+    ++pending_requests_;
     if (tracing()) trace("arrived", request, {{"time_left_ms", time_left}});
     push(event);
     return id;
 }
 
-void Sidecar::client_gone(RequestId id) {
+void BalancerDriver::client_disconnected(RequestId id) {
     const auto at = requests_.find(id);
     if (at == requests_.end() || at->second.ended) return;
     at->second.ended = true;
-    at->second.facts.client_left = true;
+    at->second.facts.client_disconnected = true;
     if (tracing()) trace("client_left", at->second, {});
-    --unanswered_;
-    ++totals_.left;
+    --pending_requests_;
+    ++totals_.client_disconnects;
     upstream_.withdraw_request(id);
-    push(ClientGone{id});
+    push(ClientDisconnected{id});
     drop_request(id);
 }
 
 // To the module this is as if the client had left: it owes nothing more, and withdraws what is out.
-void Sidecar::fail_for_those_behind(RequestId id) {
+void BalancerDriver::fail_for_pipelined(RequestId id) {
     const auto at = requests_.find(id);
     if (at == requests_.end() || at->second.ended) return;
-    ++totals_.failures[static_cast<std::size_t>(EndReason::requests_behind)];
-    if (tracing()) trace("failed", at->second, {{"reason", name_of(EndReason::requests_behind)}});
+    ++totals_.failures[static_cast<std::size_t>(EndReason::pipelined_requests)];
+    if (tracing()) trace("failed", at->second, {{"reason", to_string(EndReason::pipelined_requests)}});
     answer(id, at->second, HttpResponse(http::status::bad_gateway, 11), totals_.failed);
-    push(ClientGone{id});
+    push(ClientDisconnected{id});
     drop_request(id);
 }
 
-ServerFacts Sidecar::facts_of(ServerId id) const {
+EndpointFacts BalancerDriver::facts_of(EndpointId id) const {
     const auto at = servers_.find(id);
     if (at == servers_.end()) return {};
     const Server& server = at->second;
-    return {server.listed && server.phase == Phase::on, zones_.number(server.zone), server.cell};
+    return {server.listed && server.phase == EndpointState::serving, zones_.number(server.zone), server.cell};
 }
 
 // Between the decision and the write the client may have left or the server may have been listed as draining.
 // That a client has left is in the kernel before anybody here has read it, so its connection is looked at.
 // What has begun at a server that drains may be finished there.
-bool Sidecar::may_write(AttemptKey key, bool begun) {
+bool BalancerDriver::may_write(AttemptKey key, bool begun) {
     auto at = requests_.find(key.id);
     if (at == requests_.end()) return false;
     if (!at->second.ended)
-        if (const auto client = at->second.client.lock()) client->notice_leaving();
+        if (const auto client = at->second.client.lock()) client->check_disconnected();
     at = requests_.find(key.id);  // it may have gone with its client
     if (at == requests_.end()) return false;
     Request& request = at->second;
-    ServerFacts server = facts_of(request.facts.attempts[key.attempt].server);
+    EndpointFacts server = facts_of(request.facts.attempts[key.attempt].endpoint);
     server.serving |= begun;
     const auto withheld = rule_guard_.check_send(request.facts, key.attempt, server, clock_.now());
     if (withheld && tracing())
-        trace("withheld", request, {{"attempt", key.attempt}, {"reason", name_of(*withheld)}});
+        trace("withheld", request, {{"attempt", key.attempt}, {"reason", to_string(*withheld)}});
     return !withheld;
 }
 
-void Sidecar::told(const HostList& list, bool saved) {
-    ServerList event{saved ? ListKind::saved : list.whole ? ListKind::full : ListKind::incremental, {}};
-    std::vector<ServerId> moved;
+void BalancerDriver::endpoints_received(const EndpointList& list, bool saved) {
+    EndpointUpdate event{saved           ? EndpointUpdateKind::cached
+                         : list.complete ? EndpointUpdateKind::full
+                                         : EndpointUpdateKind::incremental,
+                         {}};
+    std::vector<EndpointId> moved;
     start_times_.observe(clock_.wall_error());
-    if (list.whole)
+    if (list.complete)
         for (auto& [id, s] : servers_) s.listed = false;
-    for (const Host& host : list.hosts) {
-        const ServerId id = server(host.name);
+    for (const ListedEndpoint& host : list.endpoints) {
+        const EndpointId id = server(host.name);
         Server& s = servers_[id];
         // Another process, or another address: what is open leads nowhere, and what is still connecting to
         // somebody who is not meant: another server may have that address by now.
-        if (s.born != host.born || s.dial != host.dial) moved.push_back(id);
-        if (s.born != host.born) s.started = start_times_.start_of(host.born, clock_.now());
-        s.born = host.born;
-        s.zone = host.zone, s.cell = host.cell, s.units = host.units;
-        s.phase = host.phase;
-        s.listed = host.phase != Phase::off;
-        if (s.listed) s.dial = host.dial;
-        event.servers.push_back({id, zones_.number(host.zone), host.cell, host.phase, s.started, host.units});
+        if (s.born != host.started_at || s.dial != host.address) moved.push_back(id);
+        if (s.born != host.started_at) s.started = start_times_.start_of(host.started_at, clock_.now());
+        s.born = host.started_at;
+        s.zone = host.zone, s.cell = host.cell, s.units = host.capacity_weight;
+        s.phase = host.state;
+        s.listed = host.state != EndpointState::gone;
+        if (s.listed) s.dial = host.address;
+        event.endpoints.push_back(
+            {id, zones_.number(host.zone), host.cell, host.state, s.started, host.capacity_weight});
     }
-    holds_list_ = true;
+    has_endpoints_ = true;
     // Nothing that is still connecting goes to a server that drains or is gone: told is told from here on.
-    std::vector<ServerId> closed;
+    std::vector<EndpointId> closed;
     for (const auto& [id, s] : servers_)
-        if (!s.listed || s.phase != Phase::on) closed.push_back(id);
+        if (!s.listed || s.phase != EndpointState::serving) closed.push_back(id);
     // The list first: what is withdrawn by it is placed anew by it, and not once more where it may not go.
     push(std::move(event));
-    for (const ServerId id : moved) upstream_.withdraw_server(id);
-    for (const ServerId id : closed) upstream_.withdraw_server(id);
-    for (const ServerId id : closed) drop_server(id);
+    for (const EndpointId id : moved) upstream_.withdraw_endpoint(id);
+    for (const EndpointId id : closed) upstream_.withdraw_endpoint(id);
+    for (const EndpointId id : closed) drop_server(id);
 }
 
-HostList Sidecar::list() const {
-    HostList list;
-    list.whole = true;
+EndpointList BalancerDriver::endpoints() const {
+    EndpointList list;
+    list.complete = true;
     for (const auto& [id, s] : servers_)
-        if (s.listed) list.hosts.push_back({s.name, s.dial, s.zone, s.cell, s.phase, s.born, s.units});
+        if (s.listed) list.endpoints.push_back({s.name, s.dial, s.zone, s.cell, s.phase, s.born, s.units});
     return list;
 }
 
-std::vector<LearntServer> Sidecar::learnt() const {
-    std::vector<LearntServer> all;
-    for (const Learnt& l : balancer_.learnt())
-        if (const auto s = servers_.find(l.server); s != servers_.end())
-            all.push_back({s->second.name, s->second.born, l.removed_for, l.pace});
+std::vector<NamedEndpointSnapshot> BalancerDriver::endpoint_snapshots() const {
+    std::vector<NamedEndpointSnapshot> all;
+    for (const EndpointSnapshot& l : balancer_.snapshot())
+        if (const auto s = servers_.find(l.endpoint); s != servers_.end())
+            all.push_back({s->second.name, s->second.born, l.ejected_for, l.latency_ratio});
     return all;
 }
 
-void Sidecar::recall(const std::vector<LearntServer>& learnt) {
-    Recalled event;
-    for (const LearntServer& l : learnt) {
+void BalancerDriver::restore(const std::vector<NamedEndpointSnapshot>& learnt) {
+    StateRestored event;
+    for (const NamedEndpointSnapshot& l : learnt) {
         const auto id = server_ids_.find(l.name);
         // Another process under the same name has its own record to make.
-        if (id == server_ids_.end() || servers_.at(id->second).born != l.born) continue;
-        event.learnt.push_back({id->second, l.removed_for, l.pace});
+        if (id == server_ids_.end() || servers_.at(id->second).born != l.started_at) continue;
+        event.endpoints.push_back({id->second, l.ejected_for, l.latency_ratio});
     }
     push(std::move(event));
 }
 
-replication::ServerKey Sidecar::key_of(const Host& host) {
+replication::EndpointKey BalancerDriver::endpoint_key_of(const ListedEndpoint& host) {
     const auto known = server_ids_.find(host.name);
-    const ServerId id =
-        known != server_ids_.end() ? known->second : server_number(host.name, [](ServerId) { return false; });
-    return server_key(id, host.born);
+    const EndpointId id =
+        known != server_ids_.end() ? known->second : endpoint_id(host.name, [](EndpointId) { return false; });
+    return endpoint_key(id, host.started_at);
 }
 
-void Sidecar::fleet_said(const std::vector<replication::ServerEvidence>& evidence) {
-    std::unordered_map<replication::ServerKey, ServerId> by_key;
+void BalancerDriver::evidence_received(const std::vector<replication::EndpointTotals>& evidence) {
+    std::unordered_map<replication::EndpointKey, EndpointId> by_key;
     for (const auto& [id, s] : servers_)
-        if (s.listed) by_key.emplace(server_key(id, s.born), id);
-    FleetView event;
-    for (const replication::ServerEvidence& e : evidence)
-        if (const auto id = by_key.find(e.server); id != by_key.end())
-            event.servers.push_back({id->second, e.good, e.bad, e.complaints, e.witnesses, e.closed,
-                                     e.restored, e.paced, e.pace});
+        if (s.listed) by_key.emplace(endpoint_key(id, s.born), id);
+    FleetEvidence event;
+    for (const replication::EndpointTotals& e : evidence)
+        if (const auto id = by_key.find(e.endpoint); id != by_key.end())
+            event.endpoints.push_back({id->second, e.successes, e.failures, e.reporters, e.direct_reporters,
+                                       e.withdrawals, e.recoveries, e.latency_reporters, e.latency_ratio});
     push(std::move(event));
 }
 
-void Sidecar::list_failed() { push(ServerList{ListKind::failed, {}}); }
+void BalancerDriver::endpoints_failed() { push(EndpointUpdate{EndpointUpdateKind::failed, {}}); }
 
-void Sidecar::peer_said(std::uint32_t from, std::vector<std::uint8_t> bytes) {
-    push(PeerMessage{from, std::move(bytes)});
+void BalancerDriver::gossip_received(std::uint32_t from, std::vector<std::uint8_t> bytes) {
+    push(GossipReceived{from, std::move(bytes)});
 }
 
-void Sidecar::attempt_ended(AttemptKey key, Outcome outcome, HttpResponse* response) {
+void BalancerDriver::attempt_ended(AttemptKey key, Outcome outcome, HttpResponse* response) {
     const auto at = requests_.find(key.id);
     if (at == requests_.end()) return;
     Request& request = at->second;
     --request.out;
     AttemptFacts& attempt = request.facts.attempts[key.attempt];
-    const ServerId server_id = attempt.server;
+    const EndpointId server_id = attempt.endpoint;
     AttemptEnded event{key.id, key.attempt, outcome, clock_.now() - attempt.sent_at, false};
     // A 4xx speaks of the request, not of the server: another would say the same. It is passed on as it is,
     // and as withdrawn it counts neither for the server nor against it. 429 would tell the client that it
     // never ran.
     const unsigned status = response ? response->result_int() : 0;
     const bool unfit = status >= 400 && status < 500 && status != 408 && status != 429;
-    if (unfit) event.outcome = Outcome::recalled;
-    if ((outcome == Outcome::completed || unfit) && !request.ended && response) {
+    if (unfit) event.outcome = Outcome::cancelled;
+    if ((outcome == Outcome::success || unfit) && !request.ended && response) {
         strip_hop_by_hop(*response);
         response->erase("X-Backend-Load");
-        answer(key.id, request, std::move(*response), unfit ? totals_.passed_on : totals_.served);
+        answer(key.id, request, std::move(*response), unfit ? totals_.forwarded_errors : totals_.served);
     }
     attempt.in_flight = false;
     attempt.may_have_run = !proves_never_ran(event.outcome);
     request.last_outcome = event.outcome;
     if (tracing())
         trace("attempt_ended", request,
-              {{"attempt", key.attempt}, {"outcome", name_of(event.outcome)}, {"ms", event.duration}});
+              {{"attempt", key.attempt}, {"outcome", to_string(event.outcome)}, {"ms", event.duration}});
     event.request_ended = request.ended;
     push(event);
     if (const auto s = servers_.find(server_id); s != servers_.end()) --s->second.out;
     drop_server(server_id);
 }
 
-void Sidecar::probe_ended(ServerId id, Outcome outcome, Millis duration) {
+void BalancerDriver::probe_ended(EndpointId id, Outcome outcome, Millis duration) {
     push(ProbeEnded{id, outcome, duration});
     if (const auto s = servers_.find(id); s != servers_.end()) --s->second.out;
     drop_server(id);
@@ -301,7 +307,7 @@
 // ---- Timers
 // -------------------------------------------------------------------------------------------------
 
-void Sidecar::arm() {
+void BalancerDriver::arm() {
     if (due_.empty()) return;
     const Millis next = due_.top().at;
     if (armed_for_ == next) return;
@@ -312,7 +318,7 @@
     });
 }
 
-void Sidecar::fire() {
+void BalancerDriver::fire() {
     armed_for_ = 0;
     const Millis now = clock_.now();
     while (!due_.empty() && due_.top().at <= now) {
@@ -329,45 +335,45 @@
 // ---- The table
 // ----------------------------------------------------------------------------------------------
 
-ServerId Sidecar::server(const std::string& name) {
+EndpointId BalancerDriver::server(const std::string& name) {
     const auto known = server_ids_.find(name);
     if (known != server_ids_.end()) return known->second;
-    const ServerId id = server_number(name, [this](ServerId n) { return servers_.count(n) > 0; });
+    const EndpointId id = endpoint_id(name, [this](EndpointId n) { return servers_.count(n) > 0; });
     server_ids_[name] = id;
     servers_[id].name = name;
     return id;
 }
 
-void Sidecar::drop_server(ServerId id) {
+void BalancerDriver::drop_server(EndpointId id) {
     const auto at = servers_.find(id);
     if (at == servers_.end() || at->second.listed || at->second.out > 0) return;
     server_ids_.erase(at->second.name);
     servers_.erase(at);
 }
 
-void Sidecar::drop_request(RequestId id) {
+void BalancerDriver::drop_request(RequestId id) {
     const auto at = requests_.find(id);
     if (at != requests_.end() && at->second.ended && at->second.out == 0) requests_.erase(at);
 }
 
-void Sidecar::trace(std::string_view event, const Request& request,
-                    std::initializer_list<std::pair<std::string_view, nlohmann::json>> more) const {
+void BalancerDriver::trace(std::string_view event, const Request& request,
+                           std::initializer_list<std::pair<std::string_view, nlohmann::json>> more) const {
     std::vector<std::pair<std::string_view, nlohmann::json>> fields(more);
     fields.emplace_back("id", request.correlation_id);
     trace_event(event, fields);
 }
 
-void Sidecar::answer(RequestId id, Request& request, HttpResponse response, std::uint64_t& total) {
+void BalancerDriver::answer(RequestId id, Request& request, HttpResponse response, std::uint64_t& total) {
     if (request.ended) return;
     request.ended = true;
     request.facts.answered = true;
     rule_guard_.check_answer(request.facts.deadline, clock_.now());
-    --unanswered_;
+    --pending_requests_;
     ++total;
     if (tracing()) trace("answered", request, {{"status", response.result_int()}});
     // What a server says of the request itself is no failure of ours.
-    if (on_answer && &total != &totals_.passed_on)
-        on_answer(request.snapshot->generation, &total == &totals_.served);
+    if (on_final_answer && &total != &totals_.forwarded_errors)
+        on_final_answer(request.snapshot->version, &total == &totals_.served);
     if (const auto client = request.client.lock()) client->answer(std::move(response));
     upstream_.withdraw_request(id);
 }
@@ -375,104 +381,106 @@
 // ---- Actions
 // ------------------------------------------------------------------------------------------------
 
-void Sidecar::carry_out(const Send& a) {
+void BalancerDriver::carry_out(const SendAttempt& a) {
     const auto at = requests_.find(a.id);
-    const auto to = servers_.find(a.server);
+    const auto to = servers_.find(a.endpoint);
     if (at == requests_.end()) return;
     Request& request = at->second;
     const AttemptKey key{a.id, static_cast<std::uint32_t>(request.facts.attempts.size())};
-    const ServerFacts server = facts_of(a.server);
-    request.facts.attempts.push_back({a.server, server.zone, server.cell, clock_.now()});
+    const EndpointFacts server = facts_of(a.endpoint);
+    request.facts.attempts.push_back({a.endpoint, server.zone, server.cell, clock_.now()});
     ++request.out;
     ++totals_.attempts;
     if (key.attempt > 0)
         ++totals_.retries[request.out > 1 || !request.last_outcome
-                              ? kOutcomes
+                              ? kOutcomeCount
                               : static_cast<std::size_t>(*request.last_outcome)];
     if (tracing())
         trace("send", request,
               {{"attempt", key.attempt},
                {"server", to == servers_.end() ? std::string("?") : to->second.name},
-               {"after", request.last_outcome ? name_of(*request.last_outcome) : ""},
-               {"until_ms", a.try_until - clock_.now()}});
+               {"after", request.last_outcome ? to_string(*request.last_outcome) : ""},
+               {"until_ms", a.give_up_at - clock_.now()}});
     if (to != servers_.end()) ++to->second.out;
-    if (to == servers_.end() || !may_write(key, false))
-        return attempt_ended(key, Outcome::superseded, nullptr);
-    rule_guard_.check_time_told(a.try_until, request.facts.deadline);
-    due_.push({a.try_until, 0, due_order_++, key, 0});
-    upstream_.send(key, a.server, to->second.dial, request.message, a.try_until, a.write_until,
+    if (to == servers_.end() || !may_write(key, false)) return attempt_ended(key, Outcome::not_sent, nullptr);
+    rule_guard_.check_propagated_deadline(a.give_up_at, request.facts.deadline);
+    due_.push({a.give_up_at, 0, due_order_++, key, 0});
+    upstream_.send(key, a.endpoint, to->second.dial, request.message, a.give_up_at, a.write_before,
                    request.snapshot->config.connect_timeout);
 }
 
-void Sidecar::carry_out(const Cancel& a) { upstream_.cancel({a.id, a.attempt}); }
+void BalancerDriver::carry_out(const CancelAttempt& a) { upstream_.cancel({a.id, a.attempt}); }
 
-void Sidecar::carry_out(const Refuse& a) {
+void BalancerDriver::carry_out(const RejectRequest& a) {
     const auto at = requests_.find(a.id);
     if (at == requests_.end()) return;
-    if (!rule_guard_.check_refusal(at->second.facts, clock_.now())) return carry_out(GiveUp{a.id, a.reason});
+    if (!rule_guard_.check_rejection(at->second.facts, clock_.now()))
+        return carry_out(FailRequest{a.id, a.reason});
     HttpResponse response(http::status::service_unavailable, 11);
-    if (a.retry_in > 0) {
+    if (a.retry_after > 0) {
         char seconds[32];
         std::snprintf(seconds, sizeof seconds, "%.3f",
-                      std::min(a.retry_in, at->second.snapshot->config.max_retry_after) / 1000);
+                      std::min(a.retry_after, at->second.snapshot->config.max_retry_after) / 1000);
         response.set(http::field::retry_after, seconds);
     }
-    ++totals_.refusals[static_cast<std::size_t>(a.reason)];
-    if (tracing()) trace("refused", at->second, {{"reason", name_of(a.reason)}});
-    answer(a.id, at->second, std::move(response), totals_.refused);
+    ++totals_.rejections[static_cast<std::size_t>(a.reason)];
+    if (tracing()) trace("refused", at->second, {{"reason", to_string(a.reason)}});
+    answer(a.id, at->second, std::move(response), totals_.rejected);
     drop_request(a.id);
 }
 
-void Sidecar::carry_out(const GiveUp& a) {
+void BalancerDriver::carry_out(const FailRequest& a) {
     const auto at = requests_.find(a.id);
     if (at == requests_.end()) return;
     ++totals_.failures[static_cast<std::size_t>(a.reason)];
-    if (tracing()) trace("failed", at->second, {{"reason", name_of(a.reason)}});
+    if (tracing()) trace("failed", at->second, {{"reason", to_string(a.reason)}});
     answer(a.id, at->second, HttpResponse(http::status::bad_gateway, 11), totals_.failed);
     drop_request(a.id);
 }
 
-void Sidecar::carry_out(const SetTimer& a) { due_.push({a.at, 1, due_order_++, std::nullopt, a.token}); }
+void BalancerDriver::carry_out(const SetTimer& a) {
+    due_.push({a.at, 1, due_order_++, std::nullopt, a.token});
+}
 
-void Sidecar::carry_out(const Probe& a) {
-    const auto to = servers_.find(a.server);
+void BalancerDriver::carry_out(const SendProbe& a) {
+    const auto to = servers_.find(a.endpoint);
     if (to == servers_.end() || !to->second.listed)
-        return push(ProbeEnded{a.server, Outcome::refused_connection, 0});
+        return push(ProbeEnded{a.endpoint, Outcome::connect_failure, 0});
     ++to->second.out;
     ++totals_.probes;
-    upstream_.probe(a.server, to->second.dial);
+    upstream_.probe(a.endpoint, to->second.dial);
 }
 
-void Sidecar::carry_out(const CloseIdle& a) { upstream_.close_idle(a.server); }
+void BalancerDriver::carry_out(const CloseIdleConnections& a) { upstream_.close_idle(a.endpoint); }
 
-void Sidecar::carry_out(const TellPeer& a) {
+void BalancerDriver::carry_out(const SendGossip& a) {
     if (!peers_) return;
-    ++totals_.told;
-    peers_->tell(a.to, a.bytes);
+    ++totals_.gossip_sent;
+    peers_->send(a.to, a.bytes);
 }
 
-void Sidecar::carry_out(const Share& a) {
-    const auto s = servers_.find(a.server);
-    if (s == servers_.end() || !on_share) return;
+void BalancerDriver::carry_out(const PublishEvidence& a) {
+    const auto s = servers_.find(a.endpoint);
+    if (s == servers_.end() || !on_evidence) return;
     const auto byte = [](double value) { return static_cast<std::uint8_t>(std::clamp(value, 0.0, 255.0)); };
     replication::Evidence e;
-    e.good = byte(std::round(a.good)), e.bad = byte(std::round(a.bad));
-    e.pace = byte(std::round(a.pace * 64));
-    e.flags = static_cast<std::uint8_t>((a.removed ? replication::kRemoved : 0) |
-                                        (a.restored ? replication::kRestored : 0));
-    on_share(server_key(a.server, s->second.born), e);
+    e.successes = byte(std::round(a.successes)), e.failures = byte(std::round(a.failures));
+    e.latency_ratio = byte(std::round(a.latency_ratio * 64));
+    e.flags = static_cast<std::uint8_t>((a.ejected ? replication::kRemoved : 0) |
+                                        (a.recovered ? replication::kRestored : 0));
+    on_evidence(endpoint_key(a.endpoint, s->second.born), e);
 }
 
-void Sidecar::carry_out(const Subscribe& a) {
-    if (snapshot_->settings->list_on_request && discovery_) discovery_->watch(a.active);
+void BalancerDriver::carry_out(const SubscribeEndpoints& a) {
+    if (snapshot_->settings->polled_discovery && discovery_) discovery_->watch(a.active);
 }
 
-void Sidecar::carry_out(const FetchList&) {
+void BalancerDriver::carry_out(const FetchEndpoints&) {
     if (discovery_) discovery_->fetch();
 }
 
-void Sidecar::carry_out(const Log& a) {
-    const auto at = a.server ? servers_.find(*a.server) : servers_.end();
+void BalancerDriver::carry_out(const LogMessage& a) {
+    const auto at = a.endpoint ? servers_.find(*a.endpoint) : servers_.end();
     log_line((at == servers_.end() ? std::string() : at->second.name + " ") + a.text);
 }
 
--- a/src/proxy/balancer_driver.hpp
+++ b/src/proxy/balancer_driver.hpp
@@ -27,8 +27,8 @@
 
 namespace ochregrade::sidecar {
 
-class Discovery;
-class Peers;
+class DiscoveryClient;
+class GossipTransport;
 
 // Whoever waits for a request's answer.
 class Client {
@@ -36,20 +36,20 @@
     virtual ~Client() = default;
     virtual void answer(HttpResponse response) = 0;  // exactly once for each request
     // Leaves at once (client_gone) if it has left and nobody has noticed yet.
-    virtual void notice_leaving() = 0;
+    virtual void check_disconnected() = 0;
 };
 
 // What is costly to learn anew about a server, by its name and start.
-struct LearntServer {
+struct NamedEndpointSnapshot {
     std::string name;
-    Millis born = 0;
-    Millis removed_for = 0;  // 0: it is in the pool
-    double pace = 0;
+    Millis started_at = 0;
+    Millis ejected_for = 0;  // 0: it is in the pool
+    double latency_ratio = 0;
 };
 
 // As in the metrics and the trace.
-std::string_view name_of(EndReason reason);
-std::string_view name_of(Outcome outcome);
+std::string_view to_string(EndReason reason);
+std::string_view to_string(Outcome outcome);
 
 // Numbers for zones, the same from one generation of the configuration to the next.
 class Zones {
@@ -61,53 +61,54 @@
     std::unordered_map<std::string, ZoneId> numbers_;
 };
 
-class Sidecar {
+class BalancerDriver {
 public:
-    Sidecar(asio::io_context& io, const Clock& clock, Zones& zones, SnapshotPtr snapshot,
-            Upstream::Limits limits);
-    ~Sidecar();
-    void connect_to(Discovery& discovery, Peers* peers);
+    BalancerDriver(asio::io_context& io, const Clock& clock, Zones& zones, ConfigSnapshotPtr snapshot,
+                   UpstreamPool::Limits limits);
+    ~BalancerDriver();
+    void connect_to(DiscoveryClient& discovery, GossipTransport* peers);
     void start();  // with the list held from before, if there is one
     // In force for what begins from here on. What has happened so far is handled by what was in force then.
     // Not from within an event.
-    void use(SnapshotPtr snapshot, Upstream::Limits limits);
+    void apply(ConfigSnapshotPtr snapshot, UpstreamPool::Limits limits);
     // The final answer of each request, by the generation that it began with.
-    std::function<void(std::uint64_t generation, bool served)> on_answer;
+    std::function<void(std::uint64_t generation, bool served)> on_final_answer;
 
     // What is to be shared with the other sidecars, by the server's key.
-    std::function<void(replication::ServerKey server, const replication::Evidence& evidence)> on_share;
+    std::function<void(replication::EndpointKey server, const replication::Evidence& evidence)> on_evidence;
 
     // From clients. The answer comes later, through the client.
-    RequestId arrived(RequestPtr request, Millis time_left, std::weak_ptr<Client> client,
-                      SnapshotPtr snapshot);
-    void client_gone(RequestId id);
+    RequestId request_arrived(RequestPtr request, Millis time_left, std::weak_ptr<Client> client,
+                              ConfigSnapshotPtr snapshot);
+    void client_disconnected(RequestId id);
     // Answers a request as failed before its time: others behind it on its connection are owed theirs.
-    void fail_for_those_behind(RequestId id);
+    void fail_for_pipelined(RequestId id);
 
     // From discovery and from other sidecars.
-    void told(const HostList& list, bool saved = false);
-    void list_failed();
-    replication::ServerKey key_of(const Host& host);
+    void endpoints_received(const EndpointList& endpoints, bool saved = false);
+    void endpoints_failed();
+    replication::EndpointKey endpoint_key_of(const ListedEndpoint& host);
     // What the other sidecars share; servers that are not listed here are passed over.
-    void fleet_said(const std::vector<replication::ServerEvidence>& evidence);
-    void peer_said(std::uint32_t from, std::vector<std::uint8_t> bytes);
+    void evidence_received(const std::vector<replication::EndpointTotals>& evidence);
+    void gossip_received(std::uint32_t from, std::vector<std::uint8_t> bytes);
 
     // For a later life, and from an earlier one.
-    HostList list() const;
-    std::vector<LearntServer> learnt() const;
-    void recall(const std::vector<LearntServer>& learnt);
+    EndpointList endpoints() const;
+    std::vector<NamedEndpointSnapshot> endpoint_snapshots() const;
+    void restore(const std::vector<NamedEndpointSnapshot>& endpoint_snapshots);
 
-    bool holds_list() const { return holds_list_; }
-    std::size_t unanswered() const { return unanswered_; }
-    const SnapshotPtr& snapshot() const { return snapshot_; }
+    bool has_endpoints() const { return has_endpoints_; }
+    std::size_t pending_requests() const { return pending_requests_; }
+    const ConfigSnapshotPtr& snapshot() const { return snapshot_; }
     // Since the start, by how they ended.
     struct Totals {
-        std::uint64_t arrived = 0, served = 0, refused = 0, failed = 0, passed_on = 0, left = 0;
-        std::uint64_t attempts = 0, probes = 0, told = 0, connects = 0;
+        std::uint64_t arrived = 0, served = 0, rejected = 0, failed = 0, forwarded_errors = 0,
+                      client_disconnects = 0;
+        std::uint64_t attempts = 0, probes = 0, gossip_sent = 0, connects = 0;
         // Final answers that are no server's, by reason; attempts after the first, by how the one before
         // ended (the last place: it was still in flight, a hedge).
-        std::array<std::uint64_t, static_cast<std::size_t>(EndReason::count)> refusals{}, failures{};
-        std::array<std::uint64_t, kOutcomes + 1> retries{};
+        std::array<std::uint64_t, static_cast<std::size_t>(EndReason::count)> rejections{}, failures{};
+        std::array<std::uint64_t, kOutcomeCount + 1> retries{};
     };
     const Totals& totals() const { return totals_; }
     // Every action that a rule may forbid passes this one.
@@ -115,11 +116,11 @@
     const RuleGuard& rule_guard() const { return rule_guard_; }
     // What is held at present, here, on the sockets and in the module. At rest no request is, and of servers
     // only those listed.
-    struct Held {
-        std::size_t requests = 0, attempts = 0, servers = 0, records = 0, pools = 0, connections = 0,
-                    removed = 0;
+    struct Usage {
+        std::size_t requests = 0, attempts = 0, endpoints = 0, known_endpoints = 0, pools = 0,
+                    connections = 0, ejected = 0;
     };
-    Held held() const;
+    Usage usage() const;
     const CloseCounts& server_closes() const { return upstream_.closes(); }
 
 private:
@@ -127,7 +128,7 @@
         std::string correlation_id;
         RequestPtr message;
         std::weak_ptr<Client> client;
-        SnapshotPtr snapshot;  // that it began with
+        ConfigSnapshotPtr snapshot;  // that it began with
         std::uint32_t out = 0;
         bool ended = false;  // answered, or its client has left
         RequestFacts facts;
@@ -136,7 +137,7 @@
     struct Server {
         std::string name;
         tcp::endpoint dial;
-        Phase phase = Phase::on;
+        EndpointState phase = EndpointState::serving;
         Millis born = 0;     // as told, Unix time: which start it is
         Millis started = 0;  // the same on our clock
         std::string zone;
@@ -163,39 +164,39 @@
     void arm();
     void fire();
     void attempt_ended(AttemptKey key, Outcome outcome, HttpResponse* response);
-    void probe_ended(ServerId id, Outcome outcome, Millis duration);
+    void probe_ended(EndpointId id, Outcome outcome, Millis duration);
     bool may_write(AttemptKey key, bool begun);
-    ServerFacts facts_of(ServerId id) const;
-    ServerId server(const std::string& name);
-    void drop_server(ServerId id);
+    EndpointFacts facts_of(EndpointId id) const;
+    EndpointId server(const std::string& name);
+    void drop_server(EndpointId id);
     void drop_request(RequestId id);
     void answer(RequestId id, Request& request, HttpResponse response, std::uint64_t& total);
     void trace(std::string_view event, const Request& request,
                std::initializer_list<std::pair<std::string_view, nlohmann::json>> more) const;
 
-    void carry_out(const Send& a);
-    void carry_out(const Cancel& a);
-    void carry_out(const Refuse& a);
-    void carry_out(const GiveUp& a);
+    void carry_out(const SendAttempt& a);
+    void carry_out(const CancelAttempt& a);
+    void carry_out(const RejectRequest& a);
+    void carry_out(const FailRequest& a);
     void carry_out(const SetTimer& a);
-    void carry_out(const Probe& a);
-    void carry_out(const CloseIdle& a);
-    void carry_out(const TellPeer& a);
-    void carry_out(const Subscribe& a);
-    void carry_out(const FetchList& a);
-    void carry_out(const Log& a);
-    void carry_out(const Share& a);
+    void carry_out(const SendProbe& a);
+    void carry_out(const CloseIdleConnections& a);
+    void carry_out(const SendGossip& a);
+    void carry_out(const SubscribeEndpoints& a);
+    void carry_out(const FetchEndpoints& a);
+    void carry_out(const LogMessage& a);
+    void carry_out(const PublishEvidence& a);
 
     asio::io_context& io_;
     const Clock& clock_;
     Zones& zones_;
-    SnapshotPtr snapshot_;
+    ConfigSnapshotPtr snapshot_;
     Totals totals_;
     RuleGuard rule_guard_;
     Balancer balancer_;
-    Upstream upstream_;
-    Discovery* discovery_ = nullptr;
-    Peers* peers_ = nullptr;
+    UpstreamPool upstream_;
+    DiscoveryClient* discovery_ = nullptr;
+    GossipTransport* peers_ = nullptr;
 
     std::deque<Event> events_;
     bool pump_posted_ = false;
@@ -207,11 +208,11 @@
 
     std::unordered_map<RequestId, Request> requests_;
     RequestId next_request_ = 1;
-    std::size_t unanswered_ = 0;
-    std::unordered_map<std::string, ServerId> server_ids_;
-    std::map<ServerId, Server> servers_;
+    std::size_t pending_requests_ = 0;
+    std::unordered_map<std::string, EndpointId> server_ids_;
+    std::map<EndpointId, Server> servers_;
     StartTimes start_times_;
-    bool holds_list_ = false;
+    bool has_endpoints_ = false;
 };
 
 }  // namespace ochregrade::sidecar
--- a/src/proxy/close_reason.hpp
+++ b/src/proxy/close_reason.hpp
@@ -24,7 +24,7 @@
 
 using CloseCounts = std::array<std::uint64_t, static_cast<std::size_t>(CloseReason::count)>;
 
-constexpr std::string_view name_of(CloseReason reason) {
+constexpr std::string_view to_string(CloseReason reason) {
     constexpr std::array<std::string_view, static_cast<std::size_t>(CloseReason::count)> kNames = {
         "peer_closed", "answered", "idle",      "timeout",        "made_room",
         "draining",    "retired",  "cancelled", "connect_failed", "error"};
--- a/src/proxy/listener.cpp
+++ b/src/proxy/listener.cpp
@@ -116,17 +116,17 @@
         socket_.close(ignored);
         release();
         claim_ahead(0);
-        if (before == State::waiting) owner_.sidecar_.client_gone(id_);
+        if (before == State::waiting) owner_.sidecar_.client_disconnected(id_);
         owner_.closed(*this);
     }
 
-    void notice_leaving() override {
+    void check_disconnected() override {
         if (state_ == State::waiting && peek(socket_) == Quiet::ended) close(CloseReason::peer_closed);
     }
 
     bool is_due(Millis now) const { return until_ > 0 && now >= until_; }
     void time_is_up() {
-        if (state_ == State::waiting) return owner_.sidecar_.fail_for_those_behind(id_);
+        if (state_ == State::waiting) return owner_.sidecar_.fail_for_pipelined(id_);
         if (state_ == State::reading) return reject(http::status::request_timeout);
         if (state_ == State::idle && unread()) return;  // it is about to be read
         close(state_ == State::lingering ? CloseReason::answered : CloseReason::timeout);
@@ -200,7 +200,7 @@
         in_.commit(asio::buffer_copy(in_.prepare(n), came));
         if (state_ == State::idle) return begin();
         if (state_ == State::reading) return parse();
-        behind_.look(in_.data(), owner_.clock_.now() - owner_.waited_for_loop());
+        behind_.update(in_.data(), owner_.clock_.now() - owner_.waited_for_loop());
         if (state_ == State::waiting) until_ = time_for_those_behind();
         // The next request, ahead of this one's answer. It is read when its turn comes; the reading goes on
         // for the client's leaving.
@@ -277,7 +277,7 @@
         const bool framed = !fault;
         if (!fault && !is_health()) {
             fault = form_fault(head, snapshot_->config);
-            if (fault && owner_.on_misfit) owner_.on_misfit(snapshot_, head);
+            if (fault && owner_.on_invalid_request) owner_.on_invalid_request(snapshot_, head);
         }
         const std::size_t length = parser_->chunked() ? kMaxBody : parser_->content_length().value_or(0);
         if (fault) {
@@ -305,7 +305,7 @@
         new_ = false;
         if (health) {
             const bool ready = owner_.ready();
-            if (ready) owner_.sidecar_.rule_guard().check_ready(owner_.sidecar_.holds_list());
+            if (ready) owner_.sidecar_.rule_guard().check_ready(owner_.sidecar_.has_endpoints());
             return write(HttpResponse(ready ? http::status::ok : http::status::service_unavailable, 11),
                          keep_);
         }
@@ -314,7 +314,7 @@
         snapshot_ = owner_.sidecar_.snapshot();
         if (chunked && framing_fault(*request)) return reject(http::status::bad_request);
         if (const auto fault = chunked || changed ? form_fault(*request, snapshot_->config) : std::nullopt) {
-            if (changed && owner_.on_misfit) owner_.on_misfit(snapshot_, *request);
+            if (changed && owner_.on_invalid_request) owner_.on_invalid_request(snapshot_, *request);
             return write(HttpResponse(*fault, 11), keep_ && !chunked);
         }
         std::string name((*request)["X-Correlation-Id"]);
@@ -328,10 +328,10 @@
         strip_hop_by_hop(*request);
         request->prepare_payload();
         state_ = State::waiting;
-        behind_.look(in_.data(), began_);
+        behind_.update(in_.data(), began_);
         until_ = time_for_those_behind();
-        id_ = owner_.sidecar_.arrived(std::move(request), std::max(0.0, left - spent - kAnswerMargin),
-                                      weak_from_this(), std::move(snapshot_));
+        id_ = owner_.sidecar_.request_arrived(std::move(request), std::max(0.0, left - spent - kAnswerMargin),
+                                              weak_from_this(), std::move(snapshot_));
         receive();
     }
 
@@ -340,7 +340,7 @@
                                                              "writing", "lingering", "closed"};
         trace_event("client_connection_closed", {{"id", open_name_},
                                                  {"state", kStates.at(static_cast<std::size_t>(before))},
-                                                 {"reason", name_of(reason)}});
+                                                 {"reason", to_string(reason)}});
     }
 
     void release() {
@@ -393,23 +393,23 @@
     bool keep_ = true;
     beast::flat_buffer in_;
     std::optional<http::request_parser<http::string_body>> parser_;
-    std::string out_;       // the answer being written
-    SnapshotPtr snapshot_;  // that the request being read began with
+    std::string out_;             // the answer being written
+    ConfigSnapshotPtr snapshot_;  // that the request being read began with
     RequestId id_ = 0;
     std::string open_name_;
     std::size_t head_bytes_ = 0, claimed_ = 0, discarded_ = 0, ahead_claimed_ = 0, thrown_ = 0;
     Millis waited_;  // see the constructor; until its first request
-    RequestsAhead behind_;
+    PipelinedRequests behind_;
     std::optional<Millis> ahead_since_;         // when the first of what was sent ahead was read
     Millis since_ = 0, began_ = 0, until_ = 0;  // in this state; its request; closed or told off after
 };
 
-Listener::Listener(asio::io_context& io, const Clock& clock, Sidecar& sidecar, Limits limits)
+Listener::Listener(asio::io_context& io, const Clock& clock, BalancerDriver& sidecar, Limits limits)
     : io_(io), clock_(clock), sidecar_(sidecar), limits_(limits), acceptor_(io), retry_(io), sweep_(io) {}
 Listener::~Listener() = default;
 
 void Listener::listen(const tcp::endpoint& at) {
-    listen_patiently("listen", at, [&] { open_acceptor(at); });
+    listen_with_retry("listen", at, [&] { open_acceptor(at); });
     // Asio would take a connection that its client has given up (ECONNABORTED, EPROTO) for an empty queue,
     // and wait for an edge that does not come for those behind it; its blocking call would wait in poll.
     acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
@@ -513,12 +513,12 @@
             loop_backlog_.blocked(sweep_due_);
             loop_backlog_.resumed(now);
         }
-        look();
+        check_deadlines();
         sweep();
     });
 }
 
-void Listener::look() {
+void Listener::check_deadlines() {
     const Millis now = clock_.now();
     std::vector<std::shared_ptr<Session>> due;
     for (const auto& session : sessions_)
@@ -536,16 +536,16 @@
 void Listener::drain(Millis latest) {
     draining_ = true;
     latest_ = latest;
-    close_quiet();
+    close_idle();
 }
 
-void Listener::tell_off() {
+void Listener::reject_incomplete() {
     const Sessions all = sessions_;
     for (const auto& session : all)
         if (session->state() == Session::State::reading) session->time_is_up();
 }
 
-void Listener::close_quiet() {
+void Listener::close_idle() {
     const Sessions all = sessions_;
     for (const auto& session : all)
         if (session->quiet()) session->close(CloseReason::draining);
@@ -557,7 +557,7 @@
     stopped_ = true;
     error_code ignored;
     acceptor_.close(ignored);
-    close_quiet();
+    close_idle();
     return true;
 }
 
--- a/src/proxy/listener.hpp
+++ b/src/proxy/listener.hpp
@@ -20,7 +20,7 @@
         std::size_t connections = 400;
         std::size_t body_bytes = 16 << 20;  // of all requests held at a time
     };
-    Listener(asio::io_context& io, const Clock& clock, Sidecar& sidecar, Limits limits);
+    Listener(asio::io_context& io, const Clock& clock, BalancerDriver& sidecar, Limits limits);
     ~Listener();
 
     void listen(const tcp::endpoint& at);  // throws if it can't
@@ -30,15 +30,15 @@
     // Lowered below what is in use, nothing is cut: idle connections go, and no new ones are taken.
     void set_limits(const Limits& limits) { limits_ = limits, accept(); }
     // A request that does not fit the configuration it began with.
-    std::function<void(const SnapshotPtr&, const HttpRequest&)> on_misfit;
+    std::function<void(const ConfigSnapshotPtr&, const HttpRequest&)> on_invalid_request;
 
     // From now on each answer closes its connection, and idle ones are closed; new ones are still taken.
     // What comes has until then at the longest.
     void drain(Millis latest);
     // Requests that have not come whole are answered so: the end is near.
-    void tell_off();
+    void reject_incomplete();
     // Connections with nothing on them: no request here, none in the kernel.
-    void close_quiet();
+    void close_idle();
     // No new ones either. What waits in the kernel is taken first; false: there was no descriptor for it, and
     // it is to be asked again.
     bool stop_accepting();
@@ -46,8 +46,8 @@
     bool busy() const;
     std::size_t connections() const { return sessions_.size(); }
     const CloseCounts& closes() const { return closes_; }
-    bool reading() const;  // part of a request has come
-    void look();           // at all time limits, as it does of itself every 50 ms
+    bool reading() const;    // part of a request has come
+    void check_deadlines();  // at all time limits, as it does of itself every 50 ms
 
 private:
     class Session;
@@ -63,11 +63,11 @@
     void closed(Session& session);
     void sweep();
     bool crowded() const { return sessions_.size() * 8 > limits_.connections * 7; }
-    bool ready() const { return ready_ && !draining_ && sidecar_.holds_list(); }
+    bool ready() const { return ready_ && !draining_ && sidecar_.has_endpoints(); }
 
     asio::io_context& io_;
     const Clock& clock_;
-    Sidecar& sidecar_;
+    BalancerDriver& sidecar_;
     Limits limits_;
     tcp::acceptor acceptor_;
     asio::steady_timer retry_, sweep_;
@@ -75,7 +75,7 @@
     std::unordered_set<std::string> open_;  // ids of the requests that await their answer
     CloseCounts closes_{};
     std::size_t body_bytes_ = 0;  // claimed by requests held
-    Backlog loop_backlog_, accept_backlog_;
+    UnreadTime loop_backlog_, accept_backlog_;
     Millis sweep_due_ = 0;
     Millis latest_ = 0;
     bool ready_ = false;
--- a/src/proxy/pipelined_requests.cpp
+++ b/src/proxy/pipelined_requests.cpp
@@ -7,7 +7,7 @@
 
 namespace ochregrade::sidecar {
 
-std::vector<Millis> times_of_whole_requests(asio::const_buffer bytes) {
+std::vector<Millis> deadlines_of_complete_requests(asio::const_buffer bytes) {
     std::vector<Millis> times;
     while (bytes.size() > 0) {
         http::request_parser<http::empty_body> parser;
@@ -26,16 +26,16 @@
     return times;
 }
 
-void RequestsAhead::look(asio::const_buffer bytes, Millis arrived) {
-    const std::vector<Millis> times = times_of_whole_requests(bytes);
+void PipelinedRequests::update(asio::const_buffer bytes, Millis arrived) {
+    const std::vector<Millis> times = deadlines_of_complete_requests(bytes);
     for (std::size_t i = deadlines_.size(); i < times.size(); ++i) deadlines_.push_back(arrived + times[i]);
 }
 
-void RequestsAhead::begin_next() {
+void PipelinedRequests::begin_next() {
     if (!deadlines_.empty()) deadlines_.pop_front();
 }
 
-std::optional<Millis> RequestsAhead::first_deadline() const {
+std::optional<Millis> PipelinedRequests::first_deadline() const {
     const auto first = std::min_element(deadlines_.begin(), deadlines_.end());
     if (first == deadlines_.end() || *first == std::numeric_limits<Millis>::infinity()) return {};
     return *first;
