--- a/src/proxy/pipelined_requests.hpp
+++ b/src/proxy/pipelined_requests.hpp
@@ -13,12 +13,12 @@
 
 // X-Time-Left of each whole request in `bytes`, milliseconds, in their order; infinite where it has none that
 // can be read. What follows a chunked request is not looked at.
-std::vector<Millis> times_of_whole_requests(asio::const_buffer bytes);
+std::vector<Millis> deadlines_of_complete_requests(asio::const_buffer bytes);
 
-class RequestsAhead {
+class PipelinedRequests {
 public:
     // `bytes` is all that is ahead. Requests that were not whole before have arrived at `arrived`.
-    void look(asio::const_buffer bytes, Millis arrived);
+    void update(asio::const_buffer bytes, Millis arrived);
     // The first of them is under way now.
     void begin_next();
     void clear() { deadlines_.clear(); }
--- a/src/proxy/request_validation.cpp
+++ b/src/proxy/request_validation.cpp
@@ -62,16 +62,17 @@
     const auto& names = config.classes;
     const auto name = std::find(names.begin(), names.end(), request["X-Service-Class"]);
     if (name == names.end()) return http::status::bad_request;
-    const Effect effect = config.settings.classes[static_cast<std::size_t>(name - names.begin())].effect;
+    const Idempotency effect =
+        config.settings.classes[static_cast<std::size_t>(name - names.begin())].idempotency;
     const bool get = request.method() == http::verb::get;
-    if (get != (effect == Effect::repeatable)) return http::status::method_not_allowed;
+    if (get != (effect == Idempotency::idempotent)) return http::status::method_not_allowed;
     if (get &&
         (request.count(http::field::transfer_encoding) > 0 ||
          request.count(http::field::content_length) > 0) &&
         request[http::field::content_length] != "0")
         return http::status::bad_request;
-    if (effect == Effect::by_key ? !given_once(request, "Idempotency-Key")
-                                 : request.count("Idempotency-Key") > 0)
+    if (effect == Idempotency::idempotent_with_key ? !given_once(request, "Idempotency-Key")
+                                                   : request.count("Idempotency-Key") > 0)
         return http::status::bad_request;
     // The first part of the path is the class.
     auto path = request.target();
--- a/src/proxy/rule_guard.cpp
+++ b/src/proxy/rule_guard.cpp
@@ -16,7 +16,7 @@
 constexpr std::array<std::string_view, static_cast<std::size_t>(Violation::count)> kViolationNames = {
     "repeat", "closed_unanswered", "answered_late", "refused_after_run", "time_overstated", "unready_start"};
 
-bool in_scope(const RequestClass& kind, const AttemptFacts& earlier, const ServerFacts& server) {
+bool in_scope(const RequestClass& kind, const AttemptFacts& earlier, const EndpointFacts& server) {
     switch (kind.dedup_scope) {
         case DedupScope::all:
             return true;
@@ -32,8 +32,8 @@
 
 }  // namespace
 
-std::string_view name_of(Withheld reason) { return kWithheldNames.at(static_cast<std::size_t>(reason)); }
-std::string_view name_of(Violation violation) {
+std::string_view to_string(Withheld reason) { return kWithheldNames.at(static_cast<std::size_t>(reason)); }
+std::string_view to_string(Violation violation) {
     return kViolationNames.at(static_cast<std::size_t>(violation));
 }
 bool is_violation(Withheld reason) { return reason >= Withheld::may_have_run; }
@@ -43,18 +43,18 @@
 }
 
 std::optional<Withheld> RuleGuard::find_reason(const RequestFacts& request, std::size_t number,
-                                               const ServerFacts& server, Millis now) const {
-    if (request.client_left) return Withheld::client_left;
+                                               const EndpointFacts& server, Millis now) const {
+    if (request.client_disconnected) return Withheld::client_disconnected;
     if (request.answered) return Withheld::answered;
     if (now >= request.deadline) return Withheld::deadline_passed;
     if (!server.serving) return Withheld::server_not_serving;
-    if (number >= request.max_attempts) return Withheld::attempts_used;
+    if (number >= request.max_attempts) return Withheld::attempts_exhausted;
     for (std::size_t i = 0; i < request.attempts.size(); ++i) {
         const AttemptFacts& earlier = request.attempts[i];
         if (i == number || !may_have_run(earlier)) continue;
-        if (request.kind.effect == Effect::once) return Withheld::may_have_run;
-        if (earlier.in_flight && !request.parallel_tries) return Withheld::attempt_in_flight;
-        if (request.kind.effect != Effect::by_key) continue;
+        if (request.kind.idempotency == Idempotency::not_idempotent) return Withheld::may_have_run;
+        if (earlier.in_flight && !request.hedging_allowed) return Withheld::attempt_in_flight;
+        if (request.kind.idempotency != Idempotency::idempotent_with_key) continue;
         if (now >= earlier.sent_at + request.kind.dedup_window) return Withheld::key_window_over;
         if (!in_scope(request.kind, earlier, server)) return Withheld::key_out_of_scope;
     }
@@ -62,7 +62,7 @@
 }
 
 std::optional<Withheld> RuleGuard::check_send(const RequestFacts& request, std::size_t number,
-                                              const ServerFacts& server, Millis now) {
+                                              const EndpointFacts& server, Millis now) {
     const auto reason = find_reason(request, number, server, now);
     if (!reason) return {};
     ++counts_.withheld[static_cast<std::size_t>(*reason)];
@@ -70,13 +70,14 @@
     return reason;
 }
 
-bool RuleGuard::check_refusal(const RequestFacts& request, Millis now) {
-    if (request.kind.effect == Effect::repeatable) return true;
-    const bool keyed = request.kind.effect == Effect::by_key && request.kind.dedup_scope == DedupScope::all;
+bool RuleGuard::check_rejection(const RequestFacts& request, Millis now) {
+    if (request.kind.idempotency == Idempotency::idempotent) return true;
+    const bool keyed = request.kind.idempotency == Idempotency::idempotent_with_key &&
+                       request.kind.dedup_scope == DedupScope::all;
     for (const AttemptFacts& attempt : request.attempts) {
         if (!may_have_run(attempt)) continue;
         if (keyed && now < attempt.sent_at + request.kind.dedup_window) continue;
-        violated(Violation::refused_after_run);
+        violated(Violation::rejected_after_run);
         return false;
     }
     return true;
@@ -86,8 +87,8 @@
     if (now > deadline + kAnswerGrace) violated(Violation::answered_late);
 }
 
-void RuleGuard::check_time_told(Millis told, Millis left) {
-    if (told > left + kTimeSlack) violated(Violation::time_overstated);
+void RuleGuard::check_propagated_deadline(Millis told, Millis left) {
+    if (told > left + kTimeSlack) violated(Violation::deadline_overstated);
 }
 
 void RuleGuard::check_close(bool owed, bool client_left) {
@@ -100,7 +101,7 @@
 
 void RuleGuard::violated(Violation violation) {
     ++counts_.violations[static_cast<std::size_t>(violation)];
-    log_line("rule violated: " + std::string(name_of(violation)));
+    log_line("rule violated: " + std::string(to_string(violation)));
 }
 
 }  // namespace ochregrade::sidecar
--- a/src/proxy/rule_guard.hpp
+++ b/src/proxy/rule_guard.hpp
@@ -18,7 +18,7 @@
 // Why an attempt is not written.
 enum class Withheld : std::size_t {
     // Something happened since the decision; nothing is wrong.
-    client_left,
+    client_disconnected,
     answered,
     deadline_passed,
     server_not_serving,
@@ -26,29 +26,29 @@
     // The decision itself would have broken a rule: counted as violations too.
     may_have_run,
     key_out_of_scope,
-    attempts_used,
+    attempts_exhausted,
     attempt_in_flight,
     count
 };
 
 // A rule that was broken, or would have been but for this guard.
 enum class Violation : std::size_t {
-    repeat,             // an attempt that might have run a request twice (`duplicate`)
-    closed_unanswered,  // a request was read and its connection closed here with no answer (`lost`)
-    answered_late,      // the final answer came over half a second after the client's deadline (`lost`)
-    refused_after_run,  // a refusal of what may have run
-    time_overstated,    // a server was told more time than the client has left, by over 0.15 s
-    unready_start,      // reported ready without a list of servers
+    repeat,               // an attempt that might have run a request twice (`duplicate`)
+    closed_unanswered,    // a request was read and its connection closed here with no answer (`lost`)
+    answered_late,        // the final answer came over half a second after the client's deadline (`lost`)
+    rejected_after_run,   // a refusal of what may have run
+    deadline_overstated,  // a server was told more time than the client has left, by over 0.15 s
+    unready_start,        // reported ready without a list of servers
     count
 };
 
-std::string_view name_of(Withheld reason);
-std::string_view name_of(Violation violation);
+std::string_view to_string(Withheld reason);
+std::string_view to_string(Violation violation);
 bool is_violation(Withheld reason);
 
 // One attempt of a request as far as it bears on the next one.
 struct AttemptFacts {
-    ServerId server = 0;
+    EndpointId endpoint = 0;
     ZoneId zone = 0;
     std::uint32_t cell = 0;
     Millis sent_at = 0;  // when it was decided on, before any byte went out
@@ -60,13 +60,13 @@
     RequestClass kind;
     Millis deadline = 0;  // the client's, from the moment its last byte was read
     std::uint32_t max_attempts = 0;
-    bool parallel_tries = false;
-    bool client_left = false;
+    bool hedging_allowed = false;
+    bool client_disconnected = false;
     bool answered = false;
     std::vector<AttemptFacts> attempts;
 };
 
-struct ServerFacts {
+struct EndpointFacts {
     bool serving = false;  // listed, and neither draining nor gone
     ZoneId zone = 0;
     std::uint32_t cell = 0;
@@ -86,11 +86,11 @@
 
     // Whether attempt `number` of the request may be written to this server now; nothing if it may.
     std::optional<Withheld> check_send(const RequestFacts& request, std::size_t number,
-                                       const ServerFacts& server, Millis now);
+                                       const EndpointFacts& server, Millis now);
     // Whether the request may be answered by a refusal, which promises that it has not run.
-    bool check_refusal(const RequestFacts& request, Millis now);
+    bool check_rejection(const RequestFacts& request, Millis now);
     void check_answer(Millis deadline, Millis now);
-    void check_time_told(Millis told, Millis left);
+    void check_propagated_deadline(Millis told, Millis left);
     // A client's connection is closed here: `owed` is a request that was read and has no answer.
     void check_close(bool owed, bool client_left);
     // /healthz is about to say that this process is ready.
@@ -100,7 +100,7 @@
 
 private:
     std::optional<Withheld> find_reason(const RequestFacts& request, std::size_t number,
-                                        const ServerFacts& server, Millis now) const;
+                                        const EndpointFacts& server, Millis now) const;
     void violated(Violation violation);
 
     Counts counts_;
--- a/src/proxy/unread_time.hpp
+++ b/src/proxy/unread_time.hpp
@@ -10,7 +10,7 @@
 
 namespace ochregrade::sidecar {
 
-class Backlog {
+class UnreadTime {
 public:
     // What waited has been read this long after reading went on.
     static constexpr Millis kCatchUp = 50;
--- a/src/proxy/upstream_pool.cpp
+++ b/src/proxy/upstream_pool.cpp
@@ -33,18 +33,18 @@
 
 CloseReason reason_of(Outcome outcome) {
     switch (outcome) {
-        case Outcome::completed:
-        case Outcome::errored:
-        case Outcome::saturated:
+        case Outcome::success:
+        case Outcome::server_error:
+        case Outcome::overloaded:
             return CloseReason::answered;
-        case Outcome::overdue:
+        case Outcome::timeout:
             return CloseReason::timeout;
-        case Outcome::refused_connection:
+        case Outcome::connect_failure:
             return CloseReason::connect_failed;
-        case Outcome::severed:
+        case Outcome::connection_reset:
             return CloseReason::peer_closed;
-        case Outcome::recalled:
-        case Outcome::superseded:
+        case Outcome::cancelled:
+        case Outcome::not_sent:
             break;
     }
     return CloseReason::cancelled;
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-struct Upstream::Job {
+struct UpstreamPool::Job {
     AttemptKey key;
     bool probe = false;
     RequestPtr request;
@@ -63,19 +63,19 @@
 };
 
 // The connections to one server for as long as it is listed with this address and start.
-struct Upstream::Pool {
+struct UpstreamPool::Pool {
     std::vector<LinkPtr> idle;  // the newest last
     std::size_t links = 0;      // all of them, idle or not
     bool withdrawn = false;     // what is still out on them ends, and they with it
 };
 
-struct Upstream::Link {
+struct UpstreamPool::Link {
     enum class State { connecting, writing, reading, idle, closed };
 
-    Link(asio::io_context& io, ServerId id, const tcp::endpoint& endpoint, std::shared_ptr<Pool> p)
+    Link(asio::io_context& io, EndpointId id, const tcp::endpoint& endpoint, std::shared_ptr<Pool> p)
         : server(id), to(endpoint), pool(std::move(p)), socket(io), timer(io), redial(io) {}
 
-    ServerId server;
+    EndpointId server;
     tcp::endpoint to;
     std::shared_ptr<Pool> pool;
     tcp::socket socket;
@@ -93,15 +93,15 @@
     Millis idle_since = 0;
 };
 
-Upstream::Upstream(asio::io_context& io, const Clock& clock, Limits limits, Handlers handlers)
+UpstreamPool::UpstreamPool(asio::io_context& io, const Clock& clock, Limits limits, Handlers handlers)
     : io_(io), clock_(clock), limits_(limits), handlers_(std::move(handlers)) {}
 
-Upstream::~Upstream() {
+UpstreamPool::~UpstreamPool() {
     for (const auto& [id, pool] : pools_) pool->idle.clear();  // a connection holds its pool
 }
 
-void Upstream::send(AttemptKey key, ServerId server, const tcp::endpoint& to, RequestPtr request,
-                    Millis until, Millis write_until, std::optional<Millis> connect_timeout) {
+void UpstreamPool::send(AttemptKey key, EndpointId server, const tcp::endpoint& to, RequestPtr request,
+                        Millis until, Millis write_until, std::optional<Millis> connect_timeout) {
     auto job = std::make_unique<Job>();
     job->key = key;
     job->request = std::move(request);
@@ -112,7 +112,7 @@
     start(std::move(job), server, to);
 }
 
-void Upstream::probe(ServerId server, const tcp::endpoint& to) {
+void UpstreamPool::probe(EndpointId server, const tcp::endpoint& to) {
     auto request = std::make_shared<HttpRequest>(http::verb::get, "/healthz", 11);
     request->set(http::field::host, to.address().to_string());
     auto job = std::make_unique<Job>();
@@ -123,7 +123,7 @@
     start(std::move(job), server, to);
 }
 
-void Upstream::start(std::unique_ptr<Job> job, ServerId server, const tcp::endpoint& to) {
+void UpstreamPool::start(std::unique_ptr<Job> job, EndpointId server, const tcp::endpoint& to) {
     LinkPtr link = take_idle(server, to);
     const bool fresh = !link;
     if (fresh) {
@@ -139,18 +139,18 @@
         link->timer.expires_at(clock_.point(job->until));
         link->timer.async_wait([this, link](error_code ec) {
             if (ec || !link->job || !link->job->probe || link->state == Link::State::closed) return;
-            end(link, link->state == Link::State::connecting ? Outcome::refused_connection : Outcome::overdue,
+            end(link, link->state == Link::State::connecting ? Outcome::connect_failure : Outcome::timeout,
                 nullptr, false);
         });
     }
     link->job = std::move(job);
     if (!fresh) return write(link);
     // No descriptor to spare: it never goes out. That is no fault of the server's.
-    if (open_ > limits_.connections) return end(link, Outcome::superseded, nullptr, false);
+    if (open_ > limits_.connections) return end(link, Outcome::not_sent, nullptr, false);
     connect(link);
 }
 
-void Upstream::set_limits(const Limits& limits) {
+void UpstreamPool::set_limits(const Limits& limits) {
     limits_ = limits;
     for (std::size_t before = open_ + 1; open_ > limits_.connections && open_ < before;) {
         before = open_;
@@ -161,7 +161,7 @@
 }
 
 // Of those that nobody uses the one idle longest.
-void Upstream::make_room() {
+void UpstreamPool::make_room() {
     LinkPtr oldest;
     for (const auto& [id, pool] : pools_)
         if (!pool->idle.empty() && (!oldest || pool->idle.front()->idle_since < oldest->idle_since))
@@ -172,11 +172,11 @@
 // The newest first: the older ones then reach their idle limit and go. What has ended in the meantime, or has
 // something to say unasked, is not fit to be written to, and nothing may be sent twice to find that out. One
 // that has only just answered may have more to say, which would be taken for the next request's answer.
-Upstream::LinkPtr Upstream::take_idle(ServerId server, const tcp::endpoint& to) {
+UpstreamPool::LinkPtr UpstreamPool::take_idle(EndpointId server, const tcp::endpoint& to) {
     const auto at = pools_.find(server);
     if (at == pools_.end()) return nullptr;
     const auto pool = at->second;  // it may go with its last connection
-    const Millis now = clock_.now(), settled = now - limits_.settle;
+    const Millis now = clock_.now(), settled = now - limits_.settle_time;
     for (std::size_t i = pool->idle.size(); i-- > 0;) {
         LinkPtr link = pool->idle[i];
         if (link->to != to || now >= idle_until(*link) || peek(link->socket) != Quiet::nothing) {
@@ -191,23 +191,22 @@
     return nullptr;
 }
 
-void Upstream::connect(const LinkPtr& link) {
+void UpstreamPool::connect(const LinkPtr& link) {
     if (!link->job->probe) {
         const Job& job = *link->job;
         const Millis patience = std::min(clock_.now() + job.connect_timeout, job.until);
         // Short of its own time it has shown nothing against its server.
-        const Outcome outcome =
-            job.write_until < patience ? Outcome::superseded : Outcome::refused_connection;
+        const Outcome outcome = job.write_until < patience ? Outcome::not_sent : Outcome::connect_failure;
         link->timer.expires_at(clock_.point(std::min(patience, job.write_until)));
         link->timer.async_wait([this, link, outcome](error_code error) {
             if (error || link->state != Link::State::connecting) return;
-            end(link, link->redials > 0 ? Outcome::superseded : outcome, nullptr, false);
+            end(link, link->redials > 0 ? Outcome::not_sent : outcome, nullptr, false);
         });
     }
     dial(link);
 }
 
-void Upstream::dial(const LinkPtr& link) {
+void UpstreamPool::dial(const LinkPtr& link) {
     error_code ec;
     link->socket.open(link->to.protocol(), ec);
     if (!ec) link->socket.set_option(tcp::no_delay(true), ec);
@@ -219,8 +218,8 @@
 
 // This machine could not begin to connect, which says nothing of the server. Such a shortage often lasts a
 // moment only.
-void Upstream::dial_again(const LinkPtr& link) {
-    if (++link->redials > kMostRedials) return end(link, Outcome::superseded, nullptr, false);
+void UpstreamPool::dial_again(const LinkPtr& link) {
+    if (++link->redials > kMostRedials) return end(link, Outcome::not_sent, nullptr, false);
     error_code ignored;
     link->socket.close(ignored);
     link->redial.expires_after(kRedialAfter);
@@ -229,10 +228,10 @@
     });
 }
 
-void Upstream::connected(const LinkPtr& link, error_code error) {
+void UpstreamPool::connected(const LinkPtr& link, error_code error) {
     if (link->state != Link::State::connecting) return;
     if (is_local_fault(error)) return dial_again(link);
-    if (error) return end(link, Outcome::refused_connection, nullptr, false);
+    if (error) return end(link, Outcome::connect_failure, nullptr, false);
     if (!link->job->probe) {
         if (!may_write(link, false)) return;
         link->timer.cancel();
@@ -240,24 +239,24 @@
     write(link);
 }
 
-bool Upstream::may_write(const LinkPtr& link, bool begun) {
+bool UpstreamPool::may_write(const LinkPtr& link, bool begun) {
     if (!handlers_.may_write) return true;
     const bool may = handlers_.may_write(link->job->key, begun);
     if (link->state == Link::State::closed) return false;  // withdrawn by whoever was asked
-    if (!may) end(link, Outcome::superseded, nullptr, false);
+    if (!may) end(link, Outcome::not_sent, nullptr, false);
     return may;
 }
 
 // Milliseconds. What is left by now, less a margin: the slack that the rule gives is as long as this process
 // may be held up before its write, and leaves nothing for the ways to and from here.
-Millis Upstream::time_to_tell(const Job& job) const {
+Millis UpstreamPool::time_to_tell(const Job& job) const {
     const Millis left = std::max(0.0, job.until - clock_.now());
     return left - std::min(kTimeMargin, left * kTimeMarginShare);
 }
 
-void Upstream::write(const LinkPtr& link) {
+void UpstreamPool::write(const LinkPtr& link) {
     Job& job = *link->job;
-    if (clock_.now() >= job.write_until) return end(link, Outcome::superseded, nullptr, false);
+    if (clock_.now() >= job.write_until) return end(link, Outcome::not_sent, nullptr, false);
     link->state = Link::State::writing;
     HttpRequest& message = *job.request;
     if (!job.probe) {
@@ -270,21 +269,21 @@
 }
 
 // Directly: nearly every request fits, and how much of it has gone out is known at once.
-void Upstream::write_on(const LinkPtr& link) {
+void UpstreamPool::write_on(const LinkPtr& link) {
     const Transfer transfer = write_available(link->socket, asio::buffer(link->out) + link->out_done);
     link->out_done += transfer.bytes;
     // A server begins a request with its last byte: short of that, it never ran.
-    if (transfer.error) return end(link, Outcome::refused_connection, nullptr, false);
+    if (transfer.error) return end(link, Outcome::connect_failure, nullptr, false);
     if (link->out_done == link->out.size()) return read(link);
     link->socket.async_wait(tcp::socket::wait_write, [this, link](error_code) {
         if (link->state != Link::State::writing) return;
         if (!link->job->probe && !may_write(link, true)) return;
-        if (clock_.now() >= link->job->write_until) return end(link, Outcome::superseded, nullptr, false);
+        if (clock_.now() >= link->job->write_until) return end(link, Outcome::not_sent, nullptr, false);
         write_on(link);
     });
 }
 
-void Upstream::read(const LinkPtr& link) {
+void UpstreamPool::read(const LinkPtr& link) {
     link->state = Link::State::reading;
     link->parser.emplace();
     link->parser->header_limit(kMaxHeader);
@@ -294,52 +293,53 @@
     parse(link);
 }
 
-void Upstream::parse(const LinkPtr& link) {
+void UpstreamPool::parse(const LinkPtr& link) {
     while (!link->parser->is_done()) {
         const error_code ec = feed(*link->parser, link->in, link->head_bytes);
         if (ec == http::error::need_more) return receive(link);
-        if (ec) return end(link, Outcome::severed, nullptr, false);
+        if (ec) return end(link, Outcome::connection_reset, nullptr, false);
     }
     const unsigned status = link->parser->get().result_int();
     if (status / 100 != 1) return answered(link);
     // 1xx: more follows, but not without end.
-    if (status == 101 || ++link->interim > kMostInterim) return end(link, Outcome::severed, nullptr, false);
+    if (status == 101 || ++link->interim > kMostInterim)
+        return end(link, Outcome::connection_reset, nullptr, false);
     read(link);
 }
 
-void Upstream::receive(const LinkPtr& link) {
+void UpstreamPool::receive(const LinkPtr& link) {
     link->socket.async_read_some(link->in.prepare(kReadSize), [this, link](error_code ec, std::size_t bytes) {
         if (link->state != Link::State::reading) return;
         // An answer without a length is whole where its server ends the connection; a reset may have cut it.
         if (ec == asio::error::eof && link->parser->is_header_done() && link->parser->need_eof())
             link->parser->put_eof(ec);
-        if (ec) return end(link, Outcome::severed, nullptr, false);
+        if (ec) return end(link, Outcome::connection_reset, nullptr, false);
         try {
             link->in.commit(bytes);
             parse(link);
         } catch (const std::exception& error) {
             // Of one answer: what goes wrong with it must not touch the others.
             log_line(std::string("an answer failed: ") + error.what());
-            if (link->job) end(link, Outcome::severed, nullptr, false);
+            if (link->job) end(link, Outcome::connection_reset, nullptr, false);
         }
     });
 }
 
-void Upstream::answered(const LinkPtr& link) {
+void UpstreamPool::answered(const LinkPtr& link) {
     // Bytes behind the answer belong to nobody: such a connection is not used again.
     const bool keep = link->parser->keep_alive() && link->in.size() == 0 && !link->pool->withdrawn;
     HttpResponse response = link->parser->release();
     link->parser.reset();
     const unsigned status = response.result_int();
-    Outcome outcome = Outcome::errored;
+    Outcome outcome = Outcome::server_error;
     if (status == 200)
-        outcome = Outcome::completed;
+        outcome = Outcome::success;
     else if ((status == 503 || status == 504) && response["X-Unprocessed"] == "1")
-        outcome = Outcome::saturated;
+        outcome = Outcome::overloaded;
     end(link, outcome, &response, keep);
 }
 
-void Upstream::park(const LinkPtr& link) {
+void UpstreamPool::park(const LinkPtr& link) {
     link->state = Link::State::idle;
     link->idle_since = clock_.now();
     if (link->out.capacity() > kReadSize) link->out = std::string();
@@ -355,18 +355,18 @@
 }
 
 // Well before the server closes it: what is written to a connection that it has closed is lost.
-Millis Upstream::idle_until(const Link& link) const {
-    return link.idle_since + limits_.idle_close - std::min(1000.0, limits_.idle_close / 4);
+Millis UpstreamPool::idle_until(const Link& link) const {
+    return link.idle_since + limits_.idle_timeout - std::min(1000.0, limits_.idle_timeout / 4);
 }
 
-void Upstream::close_in_time(const LinkPtr& link) {
+void UpstreamPool::close_in_time(const LinkPtr& link) {
     link->timer.expires_at(clock_.point(idle_until(*link)));
     link->timer.async_wait([this, link](error_code ec) {
         if (!ec && link->state == Link::State::idle) drop(link, CloseReason::idle);
     });
 }
 
-void Upstream::drop(const LinkPtr& link, CloseReason reason) {
+void UpstreamPool::drop(const LinkPtr& link, CloseReason reason) {
     if (link->state == Link::State::closed) return;
     ++closes_[static_cast<std::size_t>(reason)];
     if (link->state == Link::State::idle) std::erase(link->pool->idle, link);
@@ -380,7 +380,7 @@
     if (--link->pool->links == 0 && at != pools_.end() && at->second == link->pool) pools_.erase(at);
 }
 
-void Upstream::end(const LinkPtr& link, Outcome outcome, HttpResponse* response, bool keep) {
+void UpstreamPool::end(const LinkPtr& link, Outcome outcome, HttpResponse* response, bool keep) {
     std::unique_ptr<Job> job = std::move(link->job);
     link->timer.cancel();
     // The connection goes before anything is told, so that no next attempt can be out beside it.
@@ -391,13 +391,14 @@
     report(std::move(job), link->server, outcome, response);
 }
 
-void Upstream::report(std::unique_ptr<Job> job, ServerId server, Outcome outcome, HttpResponse* response) {
+void UpstreamPool::report(std::unique_ptr<Job> job, EndpointId server, Outcome outcome,
+                          HttpResponse* response) {
     if (job->probe) return handlers_.probe_ended(server, outcome, clock_.now() - job->sent_at);
     attempts_.erase(job->key);
     handlers_.attempt_ended(job->key, outcome, response);
 }
 
-void Upstream::stop(AttemptKey key, Outcome unwritten, Outcome other) {
+void UpstreamPool::stop(AttemptKey key, Outcome unwritten, Outcome other) {
     const auto at = attempts_.find(key);
     if (at == attempts_.end()) return;
     const LinkPtr link = at->second;
@@ -405,25 +406,25 @@
     end(link, link->state == Link::State::reading ? other : unwritten, nullptr, false);
 }
 
-void Upstream::expire(AttemptKey key) { stop(key, Outcome::refused_connection, Outcome::overdue); }
-void Upstream::cancel(AttemptKey key) { stop(key, Outcome::superseded, Outcome::recalled); }
+void UpstreamPool::expire(AttemptKey key) { stop(key, Outcome::connect_failure, Outcome::timeout); }
+void UpstreamPool::cancel(AttemptKey key) { stop(key, Outcome::not_sent, Outcome::cancelled); }
 
-void Upstream::withdraw_request(RequestId id) {
+void UpstreamPool::withdraw_request(RequestId id) {
     std::vector<LinkPtr> links;
     for (auto at = attempts_.lower_bound({id, 0}); at != attempts_.end() && at->first.id == id; ++at)
         if (at->second->state != Link::State::reading) links.push_back(at->second);
-    for (const LinkPtr& link : links) end(link, Outcome::superseded, nullptr, false);
+    for (const LinkPtr& link : links) end(link, Outcome::not_sent, nullptr, false);
 }
 
-void Upstream::withdraw_server(ServerId server) {
+void UpstreamPool::withdraw_endpoint(EndpointId server) {
     std::vector<LinkPtr> links;
     for (const auto& [key, link] : attempts_)
         if (link->server == server && link->state == Link::State::connecting) links.push_back(link);
-    for (const LinkPtr& link : links) end(link, Outcome::superseded, nullptr, false);
+    for (const LinkPtr& link : links) end(link, Outcome::not_sent, nullptr, false);
     retire(server);
 }
 
-void Upstream::retire(ServerId server) {
+void UpstreamPool::retire(EndpointId server) {
     close_idle(server);
     const auto at = pools_.find(server);
     if (at == pools_.end()) return;
@@ -431,7 +432,7 @@
     pools_.erase(at);
 }
 
-void Upstream::close_idle(ServerId server) {
+void UpstreamPool::close_idle(EndpointId server) {
     const auto at = pools_.find(server);
     if (at == pools_.end()) return;
     const std::vector<LinkPtr> links = at->second->idle;
--- a/src/proxy/upstream_pool.hpp
+++ b/src/proxy/upstream_pool.hpp
@@ -23,28 +23,28 @@
 };
 
 // Must outlive the running of the loop.
-class Upstream {
+class UpstreamPool {
 public:
     struct Limits {
         Millis connect_timeout = 1000;
-        Millis idle_close = 15000;  // servers close what has been idle this long
+        Millis idle_timeout = 15000;  // servers close what has been idle this long
         std::size_t connections = 400;
-        Millis settle = 2;  // an answer's connection is not used again sooner
+        Millis settle_time = 2;  // an answer's connection is not used again sooner
     };
     // May be called from within send(), cancel() and the like: they only note what happened.
     struct Handlers {
         std::function<void(AttemptKey, Outcome, HttpResponse*)> attempt_ended;
-        std::function<void(ServerId, Outcome, Millis)> probe_ended;
+        std::function<void(EndpointId, Outcome, Millis)> probe_ended;
         // Asked whenever a connection has come up, and again before each further part of a request that the
         // kernel did not take at once (`begun`). False: nothing more of it is written.
         std::function<bool(AttemptKey, bool begun)> may_write{};
     };
 
-    Upstream(asio::io_context& io, const Clock& clock, Limits limits, Handlers handlers);
-    ~Upstream();
+    UpstreamPool(asio::io_context& io, const Clock& clock, Limits limits, Handlers handlers);
+    ~UpstreamPool();
 
     // write_until: it goes out whole before this or not at all. No connect_timeout: that of the limits.
-    void send(AttemptKey key, ServerId server, const tcp::endpoint& to, RequestPtr request, Millis until,
+    void send(AttemptKey key, EndpointId server, const tcp::endpoint& to, RequestPtr request, Millis until,
               Millis write_until, std::optional<Millis> connect_timeout = {});
     // Its time is up: overdue, or no connection if its last byte has not gone out (then it never ran).
     void expire(AttemptKey key);
@@ -55,17 +55,17 @@
     // Those to a server that have not begun to be written never will be: for a server that drains a request
     // begins with its first byte. No connection to it is used again either, now or when what is out on it has
     // ended.
-    void withdraw_server(ServerId server);
-    void probe(ServerId server, const tcp::endpoint& to);
-    void close_idle(ServerId server);
+    void withdraw_endpoint(EndpointId server);
+    void probe(EndpointId server, const tcp::endpoint& to);
+    void close_idle(EndpointId server);
     // As withdrawn, but for what is still connecting.
-    void retire(ServerId server);
+    void retire(EndpointId server);
 
     // Lowered below what is in use, nothing is cut: idle connections go, and no new ones come up.
     void set_limits(const Limits& limits);
 
     std::size_t open() const { return open_; }
-    std::size_t out() const { return attempts_.size(); }
+    std::size_t in_flight() const { return attempts_.size(); }
     std::size_t pools() const { return pools_.size(); }
     const CloseCounts& closes() const { return closes_; }
 
@@ -75,9 +75,9 @@
     struct Pool;
     struct Job;
 
-    void start(std::unique_ptr<Job> job, ServerId server, const tcp::endpoint& to);
+    void start(std::unique_ptr<Job> job, EndpointId server, const tcp::endpoint& to);
     void make_room();
-    LinkPtr take_idle(ServerId server, const tcp::endpoint& to);
+    LinkPtr take_idle(EndpointId server, const tcp::endpoint& to);
     void connect(const LinkPtr& link);
     void dial(const LinkPtr& link);
     void dial_again(const LinkPtr& link);
@@ -95,7 +95,7 @@
     void close_in_time(const LinkPtr& link);
     void drop(const LinkPtr& link, CloseReason reason);
     void end(const LinkPtr& link, Outcome outcome, HttpResponse* response, bool keep);
-    void report(std::unique_ptr<Job> job, ServerId server, Outcome outcome, HttpResponse* response);
+    void report(std::unique_ptr<Job> job, EndpointId server, Outcome outcome, HttpResponse* response);
     void stop(AttemptKey key, Outcome unwritten, Outcome other);
 
     asio::io_context& io_;
@@ -103,7 +103,7 @@
     Limits limits_;
     Handlers handlers_;
     std::map<AttemptKey, LinkPtr> attempts_;
-    std::unordered_map<ServerId, std::shared_ptr<Pool>> pools_;  // only those with connections
+    std::unordered_map<EndpointId, std::shared_ptr<Pool>> pools_;  // only those with connections
     std::size_t open_ = 0;
     CloseCounts closes_{};
 };
--- a/src/recovery/state_store.cpp
+++ b/src/recovery/state_store.cpp
@@ -30,27 +30,31 @@
     return static_cast<double>(t.tv_sec) * 1e3 + static_cast<double>(t.tv_nsec) / 1e6;
 }
 
-void put(json& j, const Stamp& s) { j["wall_ms"] = s.wall, j["up_ms"] = s.up, j["boot"] = s.boot; }
-Stamp stamp(const json& j) {
+void put(json& j, const Timestamps& s) {
+    j["wall_ms"] = s.wall, j["up_ms"] = s.uptime, j["boot"] = s.boot_id;
+}
+Timestamps stamp(const json& j) {
     return {j.at("wall_ms").get<double>(), j.at("up_ms").get<double>(), j.at("boot").get<std::string>()};
 }
 
-const char* word(Phase phase) {
-    return phase == Phase::on ? "SERVING" : phase == Phase::fading ? "DRAINING" : "DELETED";
+const char* to_string(EndpointState phase) {
+    return phase == EndpointState::serving    ? "SERVING"
+           : phase == EndpointState::draining ? "DRAINING"
+                                              : "DELETED";
 }
 
-json list_of(const HostList& list) {
+json list_of(const EndpointList& list) {
     json hosts = json::array();
-    for (const Host& h : list.hosts) {
+    for (const ListedEndpoint& h : list.endpoints) {
         std::ostringstream dial;
-        dial << h.dial;
+        dial << h.address;
         hosts.push_back({{"host", h.name},
                          {"dial", dial.str()},
                          {"site", h.zone},
                          {"block", h.cell},
-                         {"health", word(h.phase)},
-                         {"born_ms", h.born},
-                         {"share", h.units}});
+                         {"health", to_string(h.state)},
+                         {"born_ms", h.started_at},
+                         {"share", h.capacity_weight}});
     }
     return {{"seq", list.seq}, {"whole", true}, {"hosts", hosts}};
 }
@@ -95,7 +99,7 @@
     try {
         const json j = json::parse(record.payload);
         stamp(j);
-        if (!read_hosts(j.at("list")).whole) return "its list is not whole";
+        if (!parse_endpoint_list(j.at("list")).complete) return "its list is not whole";
         j.at("discovery").get<std::string>();
         for (const json& l : j.at("learnt")) {
             l.at("host").get<std::string>();
@@ -112,45 +116,46 @@
 
 }  // namespace
 
-Stamp now_by_the_system() {
-    Stamp s{milliseconds(CLOCK_REALTIME), milliseconds(CLOCK_BOOTTIME), {}};
-    std::ifstream("/proc/sys/kernel/random/boot_id") >> s.boot;
+Timestamps now_by_the_system() {
+    Timestamps s{milliseconds(CLOCK_REALTIME), milliseconds(CLOCK_BOOTTIME), {}};
+    std::ifstream("/proc/sys/kernel/random/boot_id") >> s.boot_id;
     return s;
 }
 
-std::optional<Millis> age(const Stamp& then, const Stamp& now) {
-    if (!then.boot.empty() && then.boot == now.boot) {
-        const double past = now.up - then.up;
+std::optional<Millis> age(const Timestamps& then, const Timestamps& now) {
+    if (!then.boot_id.empty() && then.boot_id == now.boot_id) {
+        const double past = now.uptime - then.uptime;
         return past < -kSlack ? std::nullopt : std::optional(std::max(0.0, past));
     }
     // Another start of the machine: what was written before it is no younger than that.
     const double past = now.wall - then.wall;
     if (!(past >= -kSlack)) return {};
-    return std::max({0.0, past, now.up});
+    return std::max({0.0, past, now.uptime});
 }
 
-std::unique_ptr<Keeper> Keeper::open(const std::string& path) {
+std::unique_ptr<StateStore> StateStore::open(const std::string& path) {
     storage::OpenedFolder opened = storage::open_folder(path);
     const bool had = opened.folder != nullptr;
-    auto keeper = std::make_unique<Keeper>(std::move(opened.folder), now_by_the_system);
+    auto keeper = std::make_unique<StateStore>(std::move(opened.folder), now_by_the_system);
     if (!had) {
-        keeper->why_ = opened.error == EWOULDBLOCK ? "another process has it" : std::strerror(opened.error);
-        log_line("state: the folder can't be had, and nothing is kept: " + keeper->why_);
+        keeper->unusable_reason_ =
+            opened.error == EWOULDBLOCK ? "another process has it" : std::strerror(opened.error);
+        log_line("state: the folder can't be had, and nothing is kept: " + keeper->unusable_reason_);
     }
     return keeper;
 }
 
-Keeper::Keeper(std::shared_ptr<storage::Folder> folder, Now now)
+StateStore::StateStore(std::shared_ptr<storage::Folder> folder, Now now)
     : folder_(std::move(folder)), now_(std::move(now)) {
     if (folder_)
         store_ = std::make_shared<storage::Store>(
             *folder_, [](const std::string& line) { log_line("state: " + line); });
 }
 
-Recovered Keeper::recover() {
-    Recovered r;
+RecoveredState StateStore::recover() {
+    RecoveredState r;
     if (!store_) return r;
-    const Stamp now = now_();
+    const Timestamps now = now_();
     int starts = 0;
     const auto counted = store_->load(kStarts, [](const storage::Record& record) {
         const json j = json::parse(record.payload, nullptr, false);
@@ -159,65 +164,66 @@
     if (counted) starts = json::parse(counted->payload).at("starts").get<int>();
     // On the disk before any of the state is used: it may be what ends this life.
     if (const int error = store_->save(kStarts, json{{"starts", starts + 1}}.dump())) {
-        why_ = std::string("it can't be written and so is not used: ") + std::strerror(error);
-        log_line("state: " + why_);
+        unusable_reason_ = std::string("it can't be written and so is not used: ") + std::strerror(error);
+        log_line("state: " + unusable_reason_);
         return r;
     }
-    r.loop = starts >= kShortLives;
-    if (r.loop) {
+    r.crash_loop = starts >= kMaxShortRuns;
+    if (r.crash_loop) {
         log_line("state: started without it: the last " + std::to_string(starts) + " lives were short");
         for (const char* kind : {kConfig, kWorld}) store_->set_aside(kind, "lives that used it were short");
     }
     if (const auto record = store_->load(kConfig, sense_of_config)) {
         const json j = json::parse(record->payload);
-        r.good = text_at(j, "good");
-        r.next = j.at("next");
+        r.last_known_good = text_at(j, "good");
+        r.next_version = j.at("next");
         r.file = in_present_form(j.at("file"));
-        r.trial_lost = j.at("on_trial");
+        r.canary_interrupted = j.at("on_trial");
         for (const json& e : j.at("kept")) {
-            auto snapshot = std::make_shared<Snapshot>();
-            snapshot->generation = e.at("generation");
+            auto snapshot = std::make_shared<ConfigSnapshot>();
+            snapshot->version = e.at("generation");
             snapshot->config = read_document(text_at(e, "config"), "0", nullptr);
-            r.kept.push_back({std::move(snapshot), e.at("content_of"), Generations::Source::recovery,
-                              Generations::State::good, e.at("at_ms"), "from an earlier life"});
+            r.versions.push_back({std::move(snapshot), e.at("content_of"), ConfigVersions::Source::recovery,
+                                  ConfigVersions::State::good, e.at("at_ms"), "from an earlier life"});
         }
     }
     if (const auto record = store_->load(kWorld, sense_of_world)) {
         const json j = json::parse(record->payload);
         const auto past = age(stamp(j), now);
         if (past.value_or(kOldestList) <= kOldestList) {
-            r.list = read_hosts(j.at("list"));
+            r.endpoints = parse_endpoint_list(j.at("list"));
             r.discovery = j.at("discovery");
         } else {
             log_line("state: the list of servers is too old to start from");
         }
         for (const json& l : j.at("learnt")) {
-            if (!past || !r.list) break;  // of unknown age: it may all be over
-            LearntServer s{l.at("host"), l.at("born_ms"), l.at("removed_for_ms").get<double>() - *past,
-                           *past <= kOldestPace ? l.at("pace").get<double>() : 0};
-            if (s.removed_for > 0 || s.pace > 0) r.learnt.push_back(std::move(s));
+            if (!past || !r.endpoints) break;  // of unknown age: it may all be over
+            NamedEndpointSnapshot s{l.at("host"), l.at("born_ms"),
+                                    l.at("removed_for_ms").get<double>() - *past,
+                                    *past <= kOldestPace ? l.at("pace").get<double>() : 0};
+            if (s.ejected_for > 0 || s.latency_ratio > 0) r.snapshots.push_back(std::move(s));
         }
     }
     writer_ = std::make_unique<storage::Writer>(folder_, store_);
     return r;
 }
 
-void Keeper::keep_config(const Generations& generations, const std::string& file) {
+void StateStore::save_config(const ConfigVersions& generations, const std::string& file) {
     if (!writer_) return;
-    const auto& trial = generations.trial();
-    const Generations::Entry* good = trial ? generations.find(trial->fallback) : &generations.current();
+    const auto& trial = generations.canary();
+    const ConfigVersions::Entry* good = trial ? generations.find(trial->fallback) : &generations.current();
     if (!good) return;
     json j;
     j["good"] = good->snapshot->config.document;  // as text: parsing it again would cost the loop its time
     j["file"] = file;
-    j["next"] = generations.next();
+    j["next"] = generations.next_version();
     j["on_trial"] = trial.has_value();
     j["kept"] = json::array();
-    for (const Generations::Entry& e : generations.kept())
-        if (e.state == Generations::State::good)
+    for (const ConfigVersions::Entry& e : generations.retained())
+        if (e.state == ConfigVersions::State::good)
             j["kept"].push_back({{"generation", e.number()},
-                                 {"content_of", e.content},
-                                 {"at_ms", e.at},
+                                 {"content_of", e.content_version},
+                                 {"at_ms", e.committed_at},
                                  {"config", e.snapshot->config.document}});
     std::string text = j.dump();
     if (text == last_config_) return;
@@ -225,50 +231,53 @@
     writer_->submit(kConfig, std::move(text));
 }
 
-void Keeper::keep_world(const HostList& list, const std::string& discovery,
-                        const std::vector<LearntServer>& learnt) {
+void StateStore::save_endpoints(const EndpointList& list, const std::string& discovery,
+                                const std::vector<NamedEndpointSnapshot>& learnt) {
     if (!writer_) return;
     json j = {{"list", list_of(list)}, {"discovery", discovery}, {"learnt", json::array()}};
     // What has changed since is told by all but the figures that change by themselves.
     std::string same = j.dump();
-    for (const LearntServer& l : learnt)
-        if (l.removed_for > 0) same += l.name;
-    if (same == last_world_) return;
-    last_world_ = std::move(same);
-    for (const LearntServer& l : learnt)
-        j["learnt"].push_back(
-            {{"host", l.name}, {"born_ms", l.born}, {"removed_for_ms", l.removed_for}, {"pace", l.pace}});
+    for (const NamedEndpointSnapshot& l : learnt)
+        if (l.ejected_for > 0) same += l.name;
+    if (same == last_endpoints_) return;
+    last_endpoints_ = std::move(same);
+    for (const NamedEndpointSnapshot& l : learnt)
+        j["learnt"].push_back({{"host", l.name},
+                               {"born_ms", l.started_at},
+                               {"removed_for_ms", l.ejected_for},
+                               {"pace", l.latency_ratio}});
     put(j, now_());
     writer_->submit(kWorld, j.dump());
 }
 
-void Keeper::lived() {
+void StateStore::confirm_stable_uptime() {
     if (writer_) writer_->submit(kStarts, json{{"starts", 0}}.dump());
 }
 
-Start decide_start(const std::optional<json>& file, const Recovered& recovered) {
+Start decide_start(const std::optional<json>& file, const RecoveredState& recovered) {
     Start s;
     if (file) {
         s.config = read_config(*file);
-        s.file = s.config.document;
+        s.file_document = s.config.document;
         const json* known = file->contains("known") ? &file->at("known") : nullptr;
         // The last word counts. A file that says what it said when it was last accepted is no new word, but
         // what operators did since then, or a trial that was not won, is.
-        if (recovered.good && recovered.file == s.file && recovered.good->dump() != s.file) {
+        if (recovered.last_known_good && recovered.file == s.file_document &&
+            recovered.last_known_good->dump() != s.file_document) {
             try {
-                json document = *recovered.good;
+                json document = *recovered.last_known_good;
                 for (const char* field : {"name", "listen"}) document[field] = file->at(field);
-                const json mine = json::parse(s.file);
+                const json mine = json::parse(s.file_document);
                 if (mine.contains("ochregrade")) {
                     for (const char* field : {"admin", "state"})
                         if (mine["ochregrade"].contains(field))
                             document["ochregrade"][field] = mine["ochregrade"][field];
                 }
-                const Millis lived = s.config.lived;
+                const Millis lived = s.config.stable_uptime;
                 s.config = read_document(document, file->at("seed").get<std::string>(), known);
-                s.config.lived = lived;  // as all that is read at the start only
-                s.source = Generations::Source::recovery;
-                log_line(recovered.trial_lost
+                s.config.stable_uptime = lived;  // as all that is read at the start only
+                s.source = ConfigVersions::Source::recovery;
+                log_line(recovered.canary_interrupted
                              ? "state: a trial was not over when the last life ended: the last "
                                "known good configuration is in force"
                              : "state: the configuration last accepted is in force");
@@ -276,20 +285,21 @@
                 log_line(std::string("state: the configuration last accepted is not used: ") + error.what());
             }
         }
-    } else if (recovered.good) {
+    } else if (recovered.last_known_good) {
         std::ostringstream seed;
         std::random_device device;
         seed << std::hex << device() << device();
-        s.config = read_document(*recovered.good, seed.str().substr(0, 16), nullptr);
-        s.source = Generations::Source::recovery;
+        s.config = read_document(*recovered.last_known_good, seed.str().substr(0, 16), nullptr);
+        s.source = ConfigVersions::Source::recovery;
     }
     std::ostringstream discovery;
-    discovery << s.config.discovery;
+    discovery << s.config.discovery_address;
     // The platform's list, unless ours is of the same discovery and newer.
     const bool same = recovered.discovery == discovery.str();
-    if (recovered.list && (!s.config.known || (same && recovered.list->seq > s.config.known->seq))) {
-        s.config.known = recovered.list;
-        s.stored_list = true;
+    if (recovered.endpoints &&
+        (!s.config.known_endpoints || (same && recovered.endpoints->seq > s.config.known_endpoints->seq))) {
+        s.config.known_endpoints = recovered.endpoints;
+        s.endpoints_restored = true;
     }
     s.recovered = recovered;
     return s;
@@ -302,23 +312,24 @@
     try {
         file = start_document();
         const Config config = read_config(*file);
-        folder = config.state_dir;
+        folder = config.state_directory;
         log_unknown_fields(*file);
     } catch (const ConfigError& error) {
         fault = error;
         file.reset();
     }
     if (const char* path = own_variable("STATE_DIR"); path && *path) folder = path;
-    std::unique_ptr<Keeper> keeper;
-    Recovered recovered;
+    std::unique_ptr<StateStore> keeper;
+    RecoveredState recovered;
     if (!folder.empty() && (!fault || set(own_variable("LAST_KNOWN_GOOD")))) {
-        keeper = Keeper::open(folder);
+        keeper = StateStore::open(folder);
         recovered = keeper->recover();
     }
     if (fault) {
-        if (!recovered.good) throw *fault;
+        if (!recovered.last_known_good) throw *fault;
         for (const auto& [variable, field] : {std::pair{"NODE_NAME", "name"}, {"NODE_LISTEN", "listen"}})
-            if (const char* text = std::getenv(variable); text && *text) (*recovered.good)[field] = text;
+            if (const char* text = std::getenv(variable); text && *text)
+                (*recovered.last_known_good)[field] = text;
         log_line(fault->what());
         log_line("state: the file is refused and the last known good configuration steps in");
     }
--- a/src/replication/codec.cpp
+++ b/src/replication/codec.cpp
@@ -12,13 +12,14 @@
 // One description of each item's fields, for sizes, writing and reading alike.
 template <class Visit>
 void fields(MemberItem& i, Visit visit) {
-    visit(i.member), visit(i.standing.life), visit(i.standing.incarnation), visit(i.standing.status);
+    visit(i.member), visit(i.standing.epoch), visit(i.standing.incarnation), visit(i.standing.status);
     visit(i.floor);
 }
 template <class Visit>
 void fields(EvidenceItem& i, Visit visit) {
     visit(i.origin), visit(i.life), visit(i.server), visit(i.count);
-    visit(i.evidence.good), visit(i.evidence.bad), visit(i.evidence.pace), visit(i.evidence.flags);
+    visit(i.evidence.successes), visit(i.evidence.failures), visit(i.evidence.latency_ratio),
+        visit(i.evidence.flags);
     visit(i.left);
 }
 template <class Visit>
@@ -147,7 +148,7 @@
     return d;
 }
 
-const char* word(Fault fault) {
+const char* to_string(Fault fault) {
     switch (fault) {
         case Fault::too_short:
             return "too short";
--- a/src/replication/codec.hpp
+++ b/src/replication/codec.hpp
@@ -41,14 +41,14 @@
 
 struct MemberItem {
     MemberId member = 0;
-    Standing standing{};
+    MemberState standing{};
     std::uint32_t floor = 0;
     bool operator==(const MemberItem&) const = default;
 };
 struct EvidenceItem {
     MemberId origin = 0;
     std::uint32_t life = 0;
-    ServerKey server = 0;
+    EndpointKey server = 0;
     std::uint32_t count = 0;
     Evidence evidence{};
     std::uint8_t left = 0;  // of its life, in tenths of a second
@@ -101,7 +101,7 @@
 // Why a datagram is none of ours, or none that can be read.
 enum class Fault { too_short, too_long, format, checksum, kind, item };
 constexpr int kFaults = 6;
-const char* word(Fault fault);
+const char* to_string(Fault fault);
 
 // Reads no byte beyond those given. What is decoded encodes to the same bytes again.
 std::variant<Datagram, Fault> decode(std::span<const std::uint8_t> bytes);
--- a/src/replication/records.cpp
+++ b/src/replication/records.cpp
@@ -29,9 +29,9 @@
     return versions_ ? std::max(top, versions_->count) : top;
 }
 
-bool OriginState::join(const Standing& standing) {
+bool OriginState::join(const MemberState& standing) {
     if (!(standing > standing_)) return false;
-    if (standing.life > standing_.life) {
+    if (standing.epoch > standing_.epoch) {
         evidence_.clear();
         versions_.reset();
         floor_ = 0;
@@ -41,9 +41,9 @@
     return true;
 }
 
-bool OriginState::join(std::uint32_t life, ServerKey key, Record<Evidence> record) {
-    if (life < standing_.life || life == 0) return false;
-    if (life > standing_.life) join(Standing{life, 0, Status::alive});
+bool OriginState::join(std::uint32_t life, EndpointKey key, Record<Evidence> record) {
+    if (life < standing_.epoch || life == 0) return false;
+    if (life > standing_.epoch) join(MemberState{life, 0, Status::alive});
     if (record.count <= floor_) return false;
     fingerprint_.reset();
     const auto [at, fresh] = evidence_.try_emplace(key, record);
@@ -61,8 +61,8 @@
 }
 
 bool OriginState::join(std::uint32_t life, Record<Versions> record) {
-    if (life < standing_.life || life == 0) return false;
-    if (life > standing_.life) join(Standing{life, 0, Status::alive});
+    if (life < standing_.epoch || life == 0) return false;
+    if (life > standing_.epoch) join(MemberState{life, 0, Status::alive});
     if (versions_ && versions_->count == record.count && versions_->value == record.value) {
         join_copies(*versions_, record);
         return false;
@@ -74,12 +74,12 @@
 }
 
 bool OriginState::join(const OriginState& other) {
-    if (other.standing_.life == 0) return false;
+    if (other.standing_.epoch == 0) return false;
     bool changed = join(other.standing_);
-    if (other.standing_.life < standing_.life) return changed;
+    if (other.standing_.epoch < standing_.epoch) return changed;
     changed |= raise_floor(other.floor_);
-    for (const auto& [key, record] : other.evidence_) changed |= join(other.standing_.life, key, record);
-    if (other.versions_) changed |= join(other.standing_.life, *other.versions_);
+    for (const auto& [key, record] : other.evidence_) changed |= join(other.standing_.epoch, key, record);
+    if (other.versions_) changed |= join(other.standing_.epoch, *other.versions_);
     return changed;
 }
 
@@ -111,18 +111,18 @@
 }
 
 std::uint32_t OriginState::fingerprint() const {
-    if (!fingerprint_) fingerprint_ = standing_.life == 0 ? 0 : hash();
+    if (!fingerprint_) fingerprint_ = standing_.epoch == 0 ? 0 : hash();
     return *fingerprint_;
 }
 
 std::uint32_t OriginState::hash() const {
-    std::uint64_t sum = hash_of({0, standing_.life, standing_.incarnation,
+    std::uint64_t sum = hash_of({0, standing_.epoch, standing_.incarnation,
                                  static_cast<std::uint32_t>(standing_.status), top_count()});
     for (const auto& [key, record] : evidence_) {
         const Evidence& e = record.value;
-        const std::uint32_t value = static_cast<std::uint32_t>(e.good) << 24 |
-                                    static_cast<std::uint32_t>(e.bad) << 16 |
-                                    static_cast<std::uint32_t>(e.pace) << 8 | e.flags;
+        const std::uint32_t value = static_cast<std::uint32_t>(e.successes) << 24 |
+                                    static_cast<std::uint32_t>(e.failures) << 16 |
+                                    static_cast<std::uint32_t>(e.latency_ratio) << 8 | e.flags;
         sum += hash_of({1, key, record.count, value});
     }
     if (versions_) {
--- a/src/replication/records.hpp
+++ b/src/replication/records.hpp
@@ -24,11 +24,11 @@
 
 using Millis = double;
 using MemberId = std::uint16_t;  // a sidecar's number among its siblings, from 0
-using ServerKey =
+using EndpointKey =
     std::uint32_t;  // a server's number, the same at every sidecar; the key of what is known of it
 
 // A tier may be no larger: the state of one with more would not fit the memory of a sidecar.
-constexpr std::size_t kMostMembers = 4096;
+constexpr std::size_t kMaxMembers = 4096;
 // Of one origin at once. An origin with more to say withdraws its oldest.
 constexpr std::size_t kMostRecords = 32;
 // What an origin says of a server holds for this long after it was written, wherever it is read.
@@ -37,18 +37,18 @@
 enum class Status : std::uint8_t { alive = 0, suspect = 1, dead = 2 };
 
 // How a member is known: the whole of it is ordered, and the greatest wins.
-struct Standing {
-    std::uint32_t life = 0;  // 0: never heard of
+struct MemberState {
+    std::uint32_t epoch = 0;  // 0: never heard of
     std::uint32_t incarnation = 0;
     Status status = Status::alive;
-    auto operator<=>(const Standing&) const = default;
+    auto operator<=>(const MemberState&) const = default;
 };
 
 // What an origin saw of a server in its own real requests of late. Never more than 255 outcomes.
 struct Evidence {
-    std::uint8_t good = 0, bad = 0;
-    std::uint8_t pace = 0;   // its answers' time against their aim, in 1/64; 0: not known
-    std::uint8_t flags = 0;  // kRemoved, kRestored
+    std::uint8_t successes = 0, failures = 0;
+    std::uint8_t latency_ratio = 0;  // its answers' time against their aim, in 1/64; 0: not known
+    std::uint8_t flags = 0;          // kRemoved, kRestored
     auto operator<=>(const Evidence&) const = default;
 };
 constexpr std::uint8_t kRemoved = 1;   // out of the origin's own pool
@@ -78,15 +78,15 @@
 
 class OriginState {
 public:
-    const Standing& standing() const { return standing_; }
+    const MemberState& standing() const { return standing_; }
     std::uint32_t floor() const { return floor_; }
-    const std::map<ServerKey, Record<Evidence>>& evidence() const { return evidence_; }
+    const std::map<EndpointKey, Record<Evidence>>& evidence() const { return evidence_; }
     const std::optional<Record<Versions>>& versions() const { return versions_; }
     std::uint32_t top_count() const;  // the highest count held, or the floor
 
     // Each returns whether anything but a record's expiry or its being firsthand changed.
-    bool join(const Standing& standing);
-    bool join(std::uint32_t life, ServerKey key, Record<Evidence> record);
+    bool join(const MemberState& standing);
+    bool join(std::uint32_t life, EndpointKey key, Record<Evidence> record);
     bool join(std::uint32_t life, Record<Versions> record);
     bool join(const OriginState& other);
     // What this life of the origin wrote up to there has expired.
@@ -102,25 +102,25 @@
     void trim();
     std::uint32_t hash() const;
 
-    Standing standing_;
+    MemberState standing_;
     std::uint32_t floor_ = 0;
-    std::map<ServerKey, Record<Evidence>> evidence_;
+    std::map<EndpointKey, Record<Evidence>> evidence_;
     std::optional<Record<Versions>> versions_;
     mutable std::optional<std::uint32_t> fingerprint_;  // since the last change
 };
 
 // What all origins that take part say of one server, added up. Whatever is passed on may have been forged by
 // whoever passed it on, so against a server counts only what came firsthand; for it, all.
-struct ServerEvidence {
-    ServerKey server = 0;
-    std::uint32_t good = 0, bad = 0;  // outcomes: good ones of all, bad ones firsthand
-    std::uint32_t complaints = 0;     // origins with bad outcomes, or that have it out of their pool
-    std::uint32_t witnesses = 0;      // those of them that said so themselves
-    std::uint32_t closed = 0;         // origins that said themselves that it drains or is gone
-    std::uint32_t restored = 0;       // origins that have just brought it back
-    std::uint32_t paced = 0;          // origins that said themselves how long its answers take
-    double pace = 0;                  // the mean of that; 0: nobody did
-    bool operator==(const ServerEvidence&) const = default;
+struct EndpointTotals {
+    EndpointKey endpoint = 0;
+    std::uint32_t successes = 0, failures = 0;  // outcomes: good ones of all, bad ones firsthand
+    std::uint32_t reporters = 0;          // origins with bad outcomes, or that have it out of their pool
+    std::uint32_t direct_reporters = 0;   // those of them that said so themselves
+    std::uint32_t withdrawals = 0;        // origins that said themselves that it drains or is gone
+    std::uint32_t recoveries = 0;         // origins that have just brought it back
+    std::uint32_t latency_reporters = 0;  // origins that said themselves how long its answers take
+    double latency_ratio = 0;             // the mean of that; 0: nobody did
+    bool operator==(const EndpointTotals&) const = default;
 };
 
 }  // namespace ochregrade::replication
--- a/src/replication/replica.cpp
+++ b/src/replication/replica.cpp
@@ -59,10 +59,9 @@
 
 Replica::Replica(MemberId self, std::size_t members, std::uint32_t life, std::uint64_t seed, Options options)
     : self_(self), options_(options), random_(seed ^ 0x666c656574ULL), states_(members) {
-    if (members == 0 || members > kMostMembers)
-        throw std::invalid_argument("fleet: too many members or none");
+    if (members == 0 || members > kMaxMembers) throw std::invalid_argument("fleet: too many members or none");
     if (self >= members) throw std::invalid_argument("fleet: a number beyond the members");
-    own().join(Standing{std::max<std::uint32_t>(life, 1), 0, Status::alive});
+    own().join(MemberState{std::max<std::uint32_t>(life, 1), 0, Status::alive});
 }
 
 // ---- What is due ------------------------------------------------------------------------------------------
@@ -134,7 +133,7 @@
 void Replica::leave(Millis now, std::vector<Outgoing>& out) {
     if (left_) return;
     now_ = std::max(now_, now);
-    Standing gone = own().standing();
+    MemberState gone = own().standing();
     gone.status = Status::dead;
     own().join(gone);
     news(now, {What::member, self_, 0});
@@ -149,7 +148,7 @@
 Datagram Replica::head(Kind kind) const {
     Datagram d;
     d.kind = kind;
-    d.life = states_[self_].standing().life;
+    d.life = states_[self_].standing().epoch;
     d.incarnation = states_[self_].standing().incarnation;
     return d;
 }
@@ -185,12 +184,12 @@
         case What::evidence: {
             const auto at = state.evidence().find(key.server);
             if (at == state.evidence().end() || at->second.expires - now_ < kTenth) return {};
-            return EvidenceItem{key.origin,       state.standing().life, key.server,
-                                at->second.count, at->second.value,      tenths(at->second.expires - now_)};
+            return EvidenceItem{key.origin,       state.standing().epoch, key.server,
+                                at->second.count, at->second.value,       tenths(at->second.expires - now_)};
         }
         case What::versions:
             if (!state.versions()) return {};
-            return VersionsItem{key.origin, state.standing().life, state.versions()->count,
+            return VersionsItem{key.origin, state.standing().epoch, state.versions()->count,
                                 state.versions()->value};
     }
     return {};
@@ -240,7 +239,7 @@
     if (loud_versions_)
         if (const auto item = item_of({What::versions, self_, 0})) datagram.add(*item);
     loud_versions_ = false;
-    for (const ServerKey server : loud_)
+    for (const EndpointKey server : loud_)
         if (const auto item = item_of({What::evidence, self_, server}))
             if (!datagram.add(*item)) news(now, {What::evidence, self_, server});
     loud_.clear();
@@ -256,8 +255,8 @@
     std::vector<MemberId> likely, rest;
     for (std::size_t i = 0; i < states_.size(); ++i) {
         if (i == self_) continue;
-        const Standing& s = states_[i].standing();
-        (s.life > 0 && s.status != Status::dead ? likely : rest).push_back(static_cast<MemberId>(i));
+        const MemberState& s = states_[i].standing();
+        (s.epoch > 0 && s.status != Status::dead ? likely : rest).push_back(static_cast<MemberId>(i));
     }
     const auto draw = [&](std::vector<MemberId>& from, std::vector<MemberId>& into) {
         while (!from.empty() && into.size() < count) {
@@ -278,8 +277,8 @@
 void Replica::probe_next(Millis now, std::vector<Outgoing>& out) {
     std::vector<MemberId> silent;  // dead, or never heard of
     for (std::size_t i = 0; i < states_.size(); ++i) {
-        const Standing& s = states_[i].standing();
-        if (i != self_ && (s.life == 0 || s.status == Status::dead))
+        const MemberState& s = states_[i].standing();
+        if (i != self_ && (s.epoch == 0 || s.status == Status::dead))
             silent.push_back(static_cast<MemberId>(i));
     }
     // One held to be dead may be back, or on the other side of a partition that has healed.
@@ -292,8 +291,8 @@
         while (!round_.empty()) {
             const MemberId target = round_.back();
             round_.pop_back();
-            const Standing& s = states_[target].standing();
-            if (s.life == 0 || s.status == Status::dead) continue;
+            const MemberState& s = states_[target].standing();
+            if (s.epoch == 0 || s.status == Status::dead) continue;
             probe_ = {target, next_token_++, now, unanswered_, true, false, true};
             return probe_again(now, out);
         }
@@ -326,7 +325,7 @@
     if (!probe_.open) return;
     probe_.open = false;
     unanswered_ = probe_.before;  // that is silence of its own, and says nothing of the network
-    Standing s = states_[probe_.target].standing();
+    MemberState s = states_[probe_.target].standing();
     if (s.status != Status::alive) return;
     s.status = Status::suspect;
     ++counts_.suspected;
@@ -350,7 +349,7 @@
     for (const auto& [id, until] : suspects_)
         if (now >= until) over.push_back(id);
     for (const MemberId id : over) {
-        Standing s = states_[id].standing();
+        MemberState s = states_[id].standing();
         s.status = Status::dead;
         ++counts_.died;
         states_[id].join(s);
@@ -483,12 +482,12 @@
 
 bool Replica::take(Millis now, MemberId, const MemberItem& item) {
     if (item.member >= states_.size()) return ++counts_.unknown_members, false;
-    if (item.standing.life == 0 || !believable(now, item.standing.life)) return false;
+    if (item.standing.epoch == 0 || !believable(now, item.standing.epoch)) return false;
     if (item.member == self_) return refute(now, item.standing, item.floor), false;
     OriginState& state = states_[item.member];
     const bool changed = state.join(item.standing);
     if (changed) standing_changed(now, item.member);
-    const bool raised = item.standing.life == state.standing().life && state.raise_floor(item.floor);
+    const bool raised = item.standing.epoch == state.standing().epoch && state.raise_floor(item.floor);
     dirty_ |= raised;
     return changed || raised;
 }
@@ -498,16 +497,16 @@
     if (!believable(now, item.life) || item.left == 0) return false;
     if (item.origin == self_) {
         const auto held = own().evidence().find(item.server);
-        const bool other = item.life == own().standing().life && held != own().evidence().end() &&
+        const bool other = item.life == own().standing().epoch && held != own().evidence().end() &&
                            held->second.count == item.count && held->second.value != item.evidence;
         return refute(now, {item.life, 0, Status::alive}, other ? own_count_ + 1 : item.count), false;
     }
     OriginState& state = states_[item.origin];
-    const std::uint32_t life = state.standing().life;
+    const std::uint32_t life = state.standing().epoch;
     Record<Evidence> record{item.count, item.evidence, now + std::min(kEvidenceLife, item.left * kTenth),
                             from == item.origin};
     const bool changed = state.join(item.life, item.server, std::move(record));
-    if (state.standing().life != life) standing_changed(now, item.origin);
+    if (state.standing().epoch != life) standing_changed(now, item.origin);
     dirty_ = true;  // that it came firsthand may be all that is new
     const auto complaints = complaints_.find(item.server);
     if (changed && pass_on && (complaints == complaints_.end() || complaints->second.first < kNewsOrigins))
@@ -526,15 +525,15 @@
     if (!believable(now, item.life)) return false;
     if (item.origin == self_) {
         const auto& held = own().versions();
-        const bool other = item.life == own().standing().life && held && held->count == item.count &&
+        const bool other = item.life == own().standing().epoch && held && held->count == item.count &&
                            held->value != item.versions;
         return refute(now, {item.life, 0, Status::alive}, other ? own_count_ + 1 : item.count), false;
     }
     OriginState& state = states_[item.origin];
-    const std::uint32_t life = state.standing().life;
+    const std::uint32_t life = state.standing().epoch;
     Record<Versions> record{item.count, item.versions, kNever, from == item.origin};
     const bool changed = state.join(item.life, std::move(record));
-    if (state.standing().life != life) standing_changed(now, item.origin);
+    if (state.standing().epoch != life) standing_changed(now, item.origin);
     if (changed) dirty_ = moved_ = true;
     // That somebody acts on something new is news; who else does by now, digests tell.
     if (changed && pass_on && acting_on(item.versions) <= kNewsOrigins)
@@ -544,35 +543,35 @@
 
 // What is said of this sidecar and is not so: that it is suspect or dead, or what it never wrote (an earlier
 // life's, or a forger's). A higher incarnation answers the one, a later life the other.
-void Replica::refute(Millis now, const Standing& said, std::uint32_t count) {
-    const Standing& mine = own().standing();
-    if (said.life < mine.life) return;
-    if (said.life > mine.life || count > own_count_) {
+void Replica::refute(Millis now, const MemberState& said, std::uint32_t count) {
+    const MemberState& mine = own().standing();
+    if (said.epoch < mine.epoch) return;
+    if (said.epoch > mine.epoch || count > own_count_) {
         // Not in a spin: a liar could otherwise make one sidecar fill all datagrams with its lives.
         if (now < last_new_life_ + kNewLifeEvery) return;
         ++counts_.refuted;
-        return new_life(now, said.life + 1);
+        return new_life(now, said.epoch + 1);
     }
     const bool worse = said.status != Status::alive && said.incarnation >= mine.incarnation;
     if (!worse && said.incarnation <= mine.incarnation) return;
     ++counts_.refuted;
     if (said.incarnation >= std::numeric_limits<std::uint32_t>::max() - 1)
-        return new_life(now, mine.life + 1);
-    own().join(Standing{mine.life, said.incarnation + 1, Status::alive});
+        return new_life(now, mine.epoch + 1);
+    own().join(MemberState{mine.epoch, said.incarnation + 1, Status::alive});
     news(now, {What::member, self_, 0});
 }
 
 void Replica::new_life(Millis now, std::uint32_t life) {
     last_new_life_ = now;
     const OriginState before = own();
-    own().join(Standing{life, 0, Status::alive});
+    own().join(MemberState{life, 0, Status::alive});
     own_count_ = 0;
     news(now, {What::member, self_, 0});
     for (const auto& [server, record] : before.evidence()) {
         own().join(life, server, {++own_count_, record.value, record.expires, true});
         news(now, {What::evidence, self_, server});
     }
-    if (before.versions()) say(now, before.versions()->value);
+    if (before.versions()) publish(now, before.versions()->value);
 }
 
 // Whether what is said now may go to all: with what goes out in a moment anyway, or within the budget.
@@ -587,23 +586,23 @@
 
 // ---- Own records ------------------------------------------------------------------------------------------
 
-void Replica::say(Millis now, ServerKey server, Evidence evidence) {
+void Replica::publish(Millis now, EndpointKey server, Evidence evidence) {
     if (left_) return;
     now_ = std::max(now_, now);
-    if (own_count_ >= kMostCount) new_life(now, own().standing().life + 1);
-    own().join(own().standing().life, server, {++own_count_, evidence, now + kEvidenceLife, true});
+    if (own_count_ >= kMostCount) new_life(now, own().standing().epoch + 1);
+    own().join(own().standing().epoch, server, {++own_count_, evidence, now + kEvidenceLife, true});
     const auto known = complaints_.find(server);
     const bool few = known == complaints_.end() || known->second.second < kWitnesses;
-    const bool accuses = evidence.bad > 0 || (evidence.flags & (kRemoved | kClosed));
+    const bool accuses = evidence.failures > 0 || (evidence.flags & (kRemoved | kClosed));
     if (!accuses || !few || !may_shout(now)) return news(now, {What::evidence, self_, server});
     if (std::find(loud_.begin(), loud_.end(), server) == loud_.end()) loud_.push_back(server);
 }
 
-void Replica::say(Millis now, const Versions& versions) {
+void Replica::publish(Millis now, const Versions& versions) {
     if (left_) return;
     now_ = std::max(now_, now);
     const std::size_t others = acting_on(versions);
-    own().join(own().standing().life, Record<Versions>{++own_count_, versions, kNever, true});
+    own().join(own().standing().epoch, Record<Versions>{++own_count_, versions, kNever, true});
     if (others >= kNewsOrigins) return;  // digests will tell
     // Both: whoever misses the shout is a rule behind.
     news(now, {What::versions, self_, 0});
@@ -700,7 +699,7 @@
 std::vector<Item> Replica::items_of(MemberId id) const {
     std::vector<Item> items;
     const OriginState& state = states_[id];
-    if (state.standing().life == 0) return items;
+    if (state.standing().epoch == 0) return items;
     items.push_back(*item_of({What::member, id, 0}));
     for (const auto& [server, record] : state.evidence())
         if (const auto item = item_of({What::evidence, id, server})) items.push_back(*item);
@@ -775,37 +774,40 @@
     dirty_ = false;
     looked_ = now;
     struct Sum {
-        ServerEvidence all;
+        EndpointTotals all;
         std::uint32_t pace = 0;
         std::vector<MemberId> hearsay;  // complaints passed on
     };
-    std::map<ServerKey, Sum> sums;
+    std::map<EndpointKey, Sum> sums;
     for (std::size_t i = 0; i < states_.size(); ++i) {
         const OriginState& state = states_[i];
         if (i == self_ || state.standing().status == Status::dead) continue;
         for (const auto& [server, record] : state.evidence()) {
             const Evidence& e = record.value;
             Sum& sum = sums[server];
-            sum.all.server = server;
-            sum.all.good += e.good;
-            sum.all.closed += record.firsthand && (e.flags & kClosed) != 0;
-            sum.all.restored += (e.flags & kRestored) != 0;
-            if (e.pace > 0 && record.firsthand) sum.pace += e.pace, ++sum.all.paced;
-            if (e.bad == 0 && !(e.flags & kRemoved)) continue;
-            ++sum.all.complaints;
+            sum.all.endpoint = server;
+            sum.all.successes += e.successes;
+            sum.all.withdrawals += record.firsthand && (e.flags & kClosed) != 0;
+            sum.all.recoveries += (e.flags & kRestored) != 0;
+            if (e.latency_ratio > 0 && record.firsthand)
+                sum.pace += e.latency_ratio, ++sum.all.latency_reporters;
+            if (e.failures == 0 && !(e.flags & kRemoved)) continue;
+            ++sum.all.reporters;
             if (record.firsthand)
-                ++sum.all.witnesses, sum.all.bad += e.bad;
+                ++sum.all.direct_reporters, sum.all.failures += e.failures;
             else
                 sum.hearsay.push_back(static_cast<MemberId>(i));
         }
     }
-    std::vector<ServerEvidence> view;
-    std::map<ServerKey, std::vector<MemberId>> hearsay;
+    std::vector<EndpointTotals> view;
+    std::map<EndpointKey, std::vector<MemberId>> hearsay;
     complaints_.clear();
     for (auto& [server, sum] : sums) {
-        if (sum.all.paced > 0) sum.all.pace = sum.pace / 64.0 / sum.all.paced;
-        complaints_[server] = {sum.all.complaints, sum.all.witnesses};
-        if (sum.all.complaints >= kWitnesses && sum.all.witnesses < kWitnesses) hearsay[server] = sum.hearsay;
+        if (sum.all.latency_reporters > 0)
+            sum.all.latency_ratio = sum.pace / 64.0 / sum.all.latency_reporters;
+        complaints_[server] = {sum.all.reporters, sum.all.direct_reporters};
+        if (sum.all.reporters >= kWitnesses && sum.all.direct_reporters < kWitnesses)
+            hearsay[server] = sum.hearsay;
         view.push_back(sum.all);
     }
     if (moved_ || view != view_) ++revision_;
@@ -816,7 +818,7 @@
 
 // Where enough origins are said to complain of a server, some are asked themselves. One answer brings all
 // that its origin has to say, so one that is named for several servers is asked first.
-void Replica::confirm(Millis now, const std::map<ServerKey, std::vector<MemberId>>& hearsay,
+void Replica::confirm(Millis now, const std::map<EndpointKey, std::vector<MemberId>>& hearsay,
                       std::vector<Outgoing>& out) {
     std::erase_if(asked_, [&](const auto& entry) { return now >= entry.second + kConfirmEvery; });
     std::map<MemberId, int> named;
@@ -859,7 +861,7 @@
 
 std::size_t Replica::alive() const {
     return static_cast<std::size_t>(std::count_if(states_.begin(), states_.end(), [](const OriginState& s) {
-        return s.standing().life > 0 && s.standing().status != Status::dead;
+        return s.standing().epoch > 0 && s.standing().status != Status::dead;
     }));
 }
 
--- a/src/replication/replica.hpp
+++ b/src/replication/replica.hpp
@@ -56,12 +56,12 @@
     void leave(Millis now, std::vector<Outgoing>& out);
 
     // What this sidecar has to say. A record that says the same again is written again: its life starts anew.
-    void say(Millis now, ServerKey server, Evidence evidence);
-    void say(Millis now, const Versions& versions);
+    void publish(Millis now, EndpointKey server, Evidence evidence);
+    void publish(Millis now, const Versions& versions);
 
     // What the others say, of members that are not dead, without this sidecar's own; by server. As of the
     // last call of advance() or receive(); revision() grows when it or versions() has changed.
-    const std::vector<ServerEvidence>& evidence() const { return view_; }
+    const std::vector<EndpointTotals>& evidence() const { return view_; }
     std::uint64_t revision() const { return revision_; }
     // The versions that members not dead act on, their numbers with them, without this sidecar's own.
     std::vector<std::pair<MemberId, Record<Versions>>> versions() const;
@@ -96,7 +96,7 @@
     struct NewsKey {
         What what = What::member;
         MemberId origin = 0;
-        ServerKey server = 0;
+        EndpointKey server = 0;
         auto operator<=>(const NewsKey&) const = default;
     };
     struct Probe {
@@ -128,7 +128,7 @@
     std::size_t acting_on(const Versions& versions) const;  // members not dead that do
     bool believable(Millis now, std::uint32_t life);
     void standing_changed(Millis now, MemberId id);
-    void refute(Millis now, const Standing& said, std::uint32_t count);
+    void refute(Millis now, const MemberState& said, std::uint32_t count);
     void new_life(Millis now, std::uint32_t life);
 
     void probe_next(Millis now, std::vector<Outgoing>& out);
@@ -152,7 +152,7 @@
     std::vector<Item> items_of(MemberId id) const;
     bool allowed(Millis now);
     void look(Millis now, std::vector<Outgoing>& out);
-    void confirm(Millis now, const std::map<ServerKey, std::vector<MemberId>>& hearsay,
+    void confirm(Millis now, const std::map<EndpointKey, std::vector<MemberId>>& hearsay,
                  std::vector<Outgoing>& out);
 
     std::size_t range_of(MemberId id) const { return id * kRanges / states_.size(); }
@@ -170,8 +170,8 @@
     bool left_ = false;
     Millis last_new_life_ = -1e18;
 
-    std::map<NewsKey, int> news_;  // how often each has been sent on
-    std::vector<ServerKey> loud_;  // own evidence that all are told of
+    std::map<NewsKey, int> news_;    // how often each has been sent on
+    std::vector<EndpointKey> loud_;  // own evidence that all are told of
     bool loud_versions_ = false;
     Millis shout_at_ = kNever;
     double voice_ = 0;  // shouts allowed now
@@ -196,9 +196,9 @@
     double allowance_ = 0;
     Millis allowance_at_ = 0;
 
-    std::vector<ServerEvidence> view_;
+    std::vector<EndpointTotals> view_;
     // Origins that complain, by server, and those of them that said so themselves; as of the view.
-    std::map<ServerKey, std::pair<std::uint32_t, std::uint32_t>> complaints_;
+    std::map<EndpointKey, std::pair<std::uint32_t, std::uint32_t>> complaints_;
     bool dirty_ = false;                // the view may have changed,
     bool moved_ = false;                // and what is known of members or versions has
     std::map<MemberId, Millis> asked_;  // to confirm what is said in its name, and when
--- a/src/replication/version_agreement.cpp
+++ b/src/replication/version_agreement.cpp
@@ -11,10 +11,10 @@
 constexpr Millis kVoid = 60000;
 }  // namespace
 
-void Chase::look(Millis now, const Place& own, std::span<const Place> claims) {
+void VersionFollower::observe(Millis now, const VersionId& own, std::span<const VersionId> claims) {
     if (void_ && now >= void_until_) void_.reset();
-    std::optional<Place> newest;
-    for (const Place& claim : claims)
+    std::optional<VersionId> newest;
+    for (const VersionId& claim : claims)
         if (claim > own && !(void_ && claim >= *void_) && (!newest || claim > *newest)) newest = claim;
     if (!newest) {
         claimed_.reset(), due_.reset();
@@ -29,7 +29,7 @@
     due_ = now + pace_.grace + pace_.spread * random_.unit();
 }
 
-void Chase::asked(Millis now) {
+void VersionFollower::requested(Millis now) {
     if (!claimed_) return;
     ++calls_;
     if (++in_vain_ > kInVain) {
@@ -41,7 +41,7 @@
     wait_ = std::min(pace_.longest, wait_ * 2);
 }
 
-Place settings_place(const Versions& v) { return {v.epoch, v.hash}; }
-Place list_place(const Versions& v) { return {v.list_incarnation, v.list_seq}; }
+VersionId settings_place(const Versions& v) { return {v.epoch, v.hash}; }
+VersionId list_place(const Versions& v) { return {v.list_incarnation, v.list_seq}; }
 
 }  // namespace ochregrade::replication
--- a/src/replication/version_agreement.hpp
+++ b/src/replication/version_agreement.hpp
@@ -20,41 +20,41 @@
 constexpr Pace kSettingsPace{200, 500, 500, 10000};
 
 // A place in an order of versions: (epoch, hash) of settings or (incarnation, number) of a list.
-struct Place {
+struct VersionId {
     std::uint32_t major = 0, minor = 0;
-    auto operator<=>(const Place&) const = default;
+    auto operator<=>(const VersionId&) const = default;
 };
 
 // One thing that has versions.
-class Chase {
+class VersionFollower {
 public:
-    Chase(Pace pace, std::uint64_t seed) : pace_(pace), random_(seed) {}
+    VersionFollower(Pace pace, std::uint64_t seed) : pace_(pace), random_(seed) {}
 
     // What this sidecar acts on, and what others say they do.
-    void look(Millis now, const Place& own, std::span<const Place> claims);
+    void observe(Millis now, const VersionId& own, std::span<const VersionId> claims);
     // When to ask; none: there is nothing to ask for.
     std::optional<Millis> due() const { return due_; }
     // It has asked. What was claimed and does not come is asked for again, later each time.
-    void asked(Millis now);
+    void requested(Millis now);
 
     bool behind() const { return claimed_.has_value(); }
-    const std::optional<Place>& claimed() const { return claimed_; }
+    const std::optional<VersionId>& claimed() const { return claimed_; }
     std::uint64_t calls() const { return calls_; }
     std::uint64_t unfounded() const { return unfounded_; }  // claims that nothing was found of
 
 private:
     Pace pace_;
     Random random_;
-    std::optional<Place> claimed_;
+    std::optional<VersionId> claimed_;
     std::optional<Millis> due_;
     Millis wait_ = 0;
-    int in_vain_ = 0;            // calls for this claim
-    std::optional<Place> void_;  // from there on claims were unfounded,
-    Millis void_until_ = 0;      // and are not heeded until then
+    int in_vain_ = 0;                // calls for this claim
+    std::optional<VersionId> void_;  // from there on claims were unfounded,
+    Millis void_until_ = 0;          // and are not heeded until then
     std::uint64_t calls_ = 0, unfounded_ = 0;
 };
 
-Place settings_place(const Versions& v);
-Place list_place(const Versions& v);
+VersionId settings_place(const Versions& v);
+VersionId list_place(const Versions& v);
 
 }  // namespace ochregrade::replication
--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -29,23 +29,25 @@
     message.fail(field, "is not a known word");
 }
 
-const Names<Phase> phases{{"on", Phase::on}, {"fading", Phase::fading}, {"off", Phase::off}};
-const Names<ListKind> list_kinds{{"INCREMENTAL", ListKind::incremental},
-                                 {"FULL", ListKind::full},
-                                 {"SAVED", ListKind::saved},
-                                 {"FAILED", ListKind::failed}};
-const Names<Effect> effects{
-    {"repeatable", Effect::repeatable}, {"by_key", Effect::by_key}, {"once", Effect::once}};
+const Names<EndpointState> phases{
+    {"on", EndpointState::serving}, {"fading", EndpointState::draining}, {"off", EndpointState::gone}};
+const Names<EndpointUpdateKind> list_kinds{{"INCREMENTAL", EndpointUpdateKind::incremental},
+                                           {"FULL", EndpointUpdateKind::full},
+                                           {"SAVED", EndpointUpdateKind::cached},
+                                           {"FAILED", EndpointUpdateKind::failed}};
+const Names<Idempotency> effects{{"repeatable", Idempotency::idempotent},
+                                 {"by_key", Idempotency::idempotent_with_key},
+                                 {"once", Idempotency::not_idempotent}};
 const Names<DedupScope> scopes{
     {"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}};
-const Names<Outcome> outcomes{{"completed", Outcome::completed},
-                              {"errored", Outcome::errored},
-                              {"saturated", Outcome::saturated},
-                              {"overdue", Outcome::overdue},
-                              {"refused_conn", Outcome::refused_connection},
-                              {"severed", Outcome::severed},
-                              {"recalled", Outcome::recalled},
-                              {"superseded", Outcome::superseded}};
+const Names<Outcome> outcomes{{"completed", Outcome::success},
+                              {"errored", Outcome::server_error},
+                              {"saturated", Outcome::overloaded},
+                              {"overdue", Outcome::timeout},
+                              {"refused_conn", Outcome::connect_failure},
+                              {"severed", Outcome::connection_reset},
+                              {"recalled", Outcome::cancelled},
+                              {"superseded", Outcome::not_sent}};
 
 std::vector<std::string> split(std::string_view list) {
     std::vector<std::string> items;
@@ -154,31 +156,31 @@
     Site site;
     Settings& s = site.settings;
     if (start.has("azs")) site.zones = split(start.text("azs"));
-    if (start.has("my-zone")) s.my_zone = site.zone(start.text("my-zone"));
+    if (start.has("my-zone")) s.local_zone = site.zone(start.text("my-zone"));
     for (std::uint64_t i = 0, count = start.integer("classes.count"); i < count; ++i) {
         const std::string prefix = "classes." + std::to_string(i) + ".";
         RequestClass c;
-        c.effect = named(start, prefix + "effect", effects);
+        c.idempotency = named(start, prefix + "effect", effects);
         if (start.has(prefix + "dedup-scope")) c.dedup_scope = named(start, prefix + "dedup-scope", scopes);
         c.dedup_window = start.number_or(prefix + "dedup-window-ms", c.dedup_window);
-        c.aim = start.number(prefix + "on-time-ms");
-        c.aim_stretch = start.number_or(prefix + "aim-stretch", c.aim_stretch);
-        c.worth = start.number_or(prefix + "credit", c.worth);
+        c.latency_objective = start.number(prefix + "on-time-ms");
+        c.objective_per_effort = start.number_or(prefix + "aim-stretch", c.objective_per_effort);
+        c.priority_weight = start.number_or(prefix + "credit", c.priority_weight);
         s.classes.push_back(c);
         site.classes.emplace_back(start.text(prefix + "name"));
     }
-    if (start.has("membership-mode")) s.list_on_request = start.text("membership-mode") == "on_request";
-    s.siblings = static_cast<std::uint32_t>(start.integer_or("siblings", s.siblings));
+    if (start.has("membership-mode")) s.polled_discovery = start.text("membership-mode") == "on_request";
+    s.sidecar_count = static_cast<std::uint32_t>(start.integer_or("siblings", s.sidecar_count));
     s.max_attempts = static_cast<std::uint32_t>(start.integer_or("limits.max-attempts", s.max_attempts));
-    s.parallel_tries = start.flag_or("limits.parallel-tries", s.parallel_tries);
-    s.may_cancel = start.flag_or("limits.may-cancel", false);
-    s.may_probe = start.flag_or("limits.may-probe", false);
-    s.may_tell = start.flag_or("limits.may-tell", false);
-    s.my_number = static_cast<std::uint32_t>(start.integer_or("my-number", 0));
-    s.cold_from = start.number_or("rules.cold-from", s.cold_from);
-    s.fall_multiple = start.number_or("rules.fall-multiple", s.fall_multiple);
-    s.ask_within = start.number_or("rules.ask-within-ms", s.ask_within);
-    s.warm_within = start.number_or("rules.warm-within-ms", s.warm_within);
+    s.hedging_allowed = start.flag_or("limits.parallel-tries", s.hedging_allowed);
+    s.cancel_allowed = start.flag_or("limits.may-cancel", false);
+    s.probes_allowed = start.flag_or("limits.may-probe", false);
+    s.gossip_allowed = start.flag_or("limits.may-tell", false);
+    s.sidecar_index = static_cast<std::uint32_t>(start.integer_or("my-number", 0));
+    s.slow_start_least_share = start.number_or("rules.cold-from", s.slow_start_least_share);
+    s.slow_start_overload_factor = start.number_or("rules.fall-multiple", s.slow_start_overload_factor);
+    s.poll_interval = start.number_or("rules.ask-within-ms", s.poll_interval);
+    s.slow_start_duration = start.number_or("rules.warm-within-ms", s.slow_start_duration);
     s.fees.cross_zone = start.number_or("fees.cross-zone", s.fees.cross_zone);
     s.fees.probe = start.number_or("fees.probe", s.fees.probe);
     return site;
@@ -219,10 +221,10 @@
     Instance(std::string name_, Site site_, std::uint64_t seed)
         : name(std::move(name_)), site(std::move(site_)), balancer(site.settings, seed) {}
 
-    ServerId server(const std::string& server_name) {
+    EndpointId server(const std::string& server_name) {
         const auto known = server_ids.find(server_name);
         if (known != server_ids.end()) return known->second;
-        const ServerId id = server_number(server_name, [&](ServerId n) { return servers.count(n) > 0; });
+        const EndpointId id = endpoint_id(server_name, [&](EndpointId n) { return servers.count(n) > 0; });
         server_ids[server_name] = id;
         servers[id].name = server_name;
         return id;
@@ -238,7 +240,7 @@
         if (const auto at = requests.find(id); at != requests.end()) at->second.ended = true;
         drop_request(id);
     }
-    void drop_server(ServerId id) {
+    void drop_server(EndpointId id) {
         const auto at = servers.find(id);
         if (at == servers.end() || at->second.listed || at->second.out > 0) return;
         server_ids.erase(at->second.name);
@@ -250,8 +252,8 @@
     Balancer balancer;
     std::unordered_map<std::string, RequestId> request_ids;
     std::unordered_map<RequestId, Request> requests;
-    std::unordered_map<std::string, ServerId> server_ids;
-    std::map<ServerId, Server> servers;
+    std::unordered_map<std::string, EndpointId> server_ids;
+    std::map<EndpointId, Server> servers;
     RequestId next_request = 1;
 };
 
@@ -317,7 +319,7 @@
         RequestArrived arrived;
         arrived.time_left = message.number("time-left-ms");
         arrived.effort = message.number_or("effort-ms", 0);
-        arrived.repeat = message.flag_or("repeat", false);
+        arrived.client_retry = message.flag_or("repeat", false);
         const auto& classes = instance.site.classes;
         const auto grade = std::find(classes.begin(), classes.end(), message.text("grade"));
         arrived.class_index = static_cast<std::uint32_t>(grade - classes.begin());
@@ -333,7 +335,7 @@
         const auto hop = gone ? 0 : static_cast<std::uint32_t>(message.integer("hop"));
         if (request == instance.request_ids.end()) return;  // the instance has ended it meanwhile
         const RequestId id = request->second;
-        give(instance, gone ? Event(ClientGone{id}) : Event(FirstByte{id, hop}));
+        give(instance, gone ? Event(ClientDisconnected{id}) : Event(ResponseStarted{id, hop}));
         if (gone) instance.end_request(id);
     } else if (kind == "VERDICT") {
         attempt_ended(instance, message);
@@ -345,8 +347,8 @@
                                 read_outcome(message), message.number_or("duration-ms", 0)};
         if (server != instance.server_ids.end()) give(instance, probed);
     } else {
-        give(instance, PeerMessage{static_cast<std::uint32_t>(message.integer("src-peer")),
-                                   read_bytes(message, "msg")});
+        give(instance, GossipReceived{static_cast<std::uint32_t>(message.integer("src-peer")),
+                                      read_bytes(message, "msg")});
     }
 }
 
@@ -386,24 +388,24 @@
 }
 
 void Host::list(Instance& instance, const Message& message) {
-    ServerList list{named(message, "mode", list_kinds), {}};
-    if (list.kind != ListKind::failed) {
+    EndpointUpdate list{named(message, "mode", list_kinds), {}};
+    if (list.kind != EndpointUpdateKind::failed) {
         const std::uint64_t ref = message.integer("ref");
         if (ref >= catalogs_.size()) message.fail("ref", "is out of range");
-        if (list.kind != ListKind::incremental)
+        if (list.kind != EndpointUpdateKind::incremental)
             for (auto& [id, server] : instance.servers) server.listed = false;
         for (const CatalogEntry& e : catalogs_[ref]) {
-            const ServerId id = instance.server(e.server);
-            instance.servers[id].listed = e.phase != Phase::off;
-            list.servers.push_back(
+            const EndpointId id = instance.server(e.server);
+            instance.servers[id].listed = e.phase != EndpointState::gone;
+            list.endpoints.push_back(
                 {id, instance.site.zone(e.zone), e.cell, e.phase, e.online_since, e.units});
         }
     }
     give(instance, list);
-    if (list.kind == ListKind::failed) return;
-    std::vector<ServerId> ids;
+    if (list.kind == EndpointUpdateKind::failed) return;
+    std::vector<EndpointId> ids;
     for (const auto& [id, server] : instance.servers) ids.push_back(id);
-    for (const ServerId id : ids) instance.drop_server(id);
+    for (const EndpointId id : ids) instance.drop_server(id);
 }
 
 void Host::attempt_ended(Instance& instance, const Message& message) {
@@ -422,7 +424,7 @@
     give(instance, ended);
     instance.drop_request(ended.id);
     if (server == instance.server_ids.end()) return;
-    const ServerId id = server->second;
+    const EndpointId id = server->second;
     if (Instance::Server& s = instance.servers.at(id); s.out > 0) --s.out;
     instance.drop_server(id);
 }
@@ -439,34 +441,34 @@
 }
 
 void Host::put(Instance& instance, const Action& action) {
-    if (std::holds_alternative<Share>(action)) return;  // nothing is shared on this wire
+    if (std::holds_alternative<PublishEvidence>(action)) return;  // nothing is shared on this wire
     const auto head = [&](std::string_view kind) { (reply_ += kind) += " who=" + instance.name; };
     const auto request = [&](std::string_view kind, RequestId id) {
         head(kind);
         reply_ += " rid=" + instance.requests.at(id).name;
     };
-    const auto server = [&](ServerId id) { reply_ += " server=" + instance.servers.at(id).name; };
+    const auto server = [&](EndpointId id) { reply_ += " server=" + instance.servers.at(id).name; };
     const auto time = [&](std::string_view field, Millis value) {
         (reply_ += field) += '=';
         add_number(reply_, value);
     };
-    std::visit(Overloaded{[&](const Send& a) {
+    std::visit(Overloaded{[&](const SendAttempt& a) {
                               request("DISPATCH", a.id);
-                              server(a.server);
-                              time(" try-until-ms", a.try_until);
+                              server(a.endpoint);
+                              time(" try-until-ms", a.give_up_at);
                               ++instance.requests.at(a.id).out;
-                              ++instance.servers.at(a.server).out;
+                              ++instance.servers.at(a.endpoint).out;
                           },
-                          [&](const Cancel& a) {
+                          [&](const CancelAttempt& a) {
                               request("ABANDON", a.id);
                               reply_ += " hop=" + std::to_string(a.attempt);
                           },
-                          [&](const Refuse& a) {
+                          [&](const RejectRequest& a) {
                               request("DECLINE", a.id);
-                              if (a.retry_in > 0) time(" retry-in-ms", a.retry_in);
+                              if (a.retry_after > 0) time(" retry-in-ms", a.retry_after);
                               instance.end_request(a.id);
                           },
-                          [&](const GiveUp& a) {
+                          [&](const FailRequest& a) {
                               request("GIVE_UP", a.id);
                               instance.end_request(a.id);
                           },
@@ -475,23 +477,23 @@
                               time(" at-ms", a.at);
                               reply_ += " nonce=" + std::to_string(a.token);
                           },
-                          [&](const Probe& a) { head("ASK_LOAD"), server(a.server); },
-                          [&](const CloseIdle& a) { head("SHUT_IDLE"), server(a.server); },
-                          [&](const TellPeer& a) {
+                          [&](const SendProbe& a) { head("ASK_LOAD"), server(a.endpoint); },
+                          [&](const CloseIdleConnections& a) { head("SHUT_IDLE"), server(a.endpoint); },
+                          [&](const SendGossip& a) {
                               head("WRITE_PEER");
                               reply_ +=
                                   " dst=" + (a.to ? std::to_string(*a.to) : std::string("all")) + " msg=";
                               add_hex(reply_, a.bytes);
                           },
-                          [&](const Subscribe& a) {
+                          [&](const SubscribeEndpoints& a) {
                               head("SUBSCRIBE");
                               reply_ += a.active ? " active=1" : " active=0";
                           },
-                          [&](const FetchList&) { head("READ_LIST"); }, [&](const Share&) {},
-                          [&](const Log& a) {
+                          [&](const FetchEndpoints&) { head("READ_LIST"); }, [&](const PublishEvidence&) {},
+                          [&](const LogMessage& a) {
                               head("PRINT");
                               reply_ += " words=";
-                              if (a.server) reply_ += instance.servers.at(*a.server).name + " ";
+                              if (a.endpoint) reply_ += instance.servers.at(*a.endpoint).name + " ";
                               for (const char c : a.text) reply_ += c == '\n' || c == '\r' ? ' ' : c;
                           }},
                action);
--- a/src/simulator/adapter.hpp
+++ b/src/simulator/adapter.hpp
@@ -61,7 +61,7 @@
     std::string server;
     std::string zone;
     std::uint32_t cell = 0;
-    Phase phase = Phase::on;
+    EndpointState phase = EndpointState::serving;
     Millis online_since = 0;
     double units = 1;
 };
--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -8,41 +8,41 @@
 namespace {
 
 // A rig with `count` warm servers and one long-lived class.
-Rig pool(ServerId count, std::uint64_t seed = 1, Effect effect = Effect::once) {
+Rig pool(EndpointId count, std::uint64_t seed = 1, Idempotency effect = Idempotency::not_idempotent) {
     Rig rig(make_settings({make_class(effect)}), seed);
-    rig.list(ListKind::full, make_servers(count));
+    rig.list(EndpointUpdateKind::full, make_servers(count));
     return rig;
 }
 
 // One request after another; those that meet `bad` end as `outcome`, the others are served.
-int play(Rig& rig, int requests, const std::set<ServerId>& bad, Outcome outcome, Millis gap = 10) {
+int play(Rig& rig, int requests, const std::set<EndpointId>& bad, Outcome outcome, Millis gap = 10) {
     int met = 0;
     for (int i = 0; i < requests; ++i) {
         const RequestId id = rig.request();
         if (!rig.out(id)) continue;
         const bool failing = bad.count(rig.where(id)) > 0;
         met += failing;
-        rig.end(id, failing ? outcome : Outcome::completed, gap);
+        rig.end(id, failing ? outcome : Outcome::success, gap);
     }
     return met;
 }
 
 TEST(Verdict, AServerThatFailsLeavesThePoolAndStaysOutForTheBackoff) {
     Rig rig = pool(4);
-    EXPECT_GT(play(rig, 120, {1}, Outcome::errored), 0);
+    EXPECT_GT(play(rig, 120, {1}, Outcome::server_error), 0);
     EXPECT_EQ(rig.removals(), 1);
-    EXPECT_EQ(play(rig, 120, {1}, Outcome::errored), 0) << "within the backoff nothing goes to it";
+    EXPECT_EQ(play(rig, 120, {1}, Outcome::server_error), 0) << "within the backoff nothing goes to it";
 }
 
 TEST(Verdict, TwoFailuresInTwentyAreBorneAndThreeAreNot) {
     for (const int failures : {2, 3}) {
         Rig rig = pool(4);
-        play(rig, 400, {}, Outcome::completed);  // full windows of successes
+        play(rig, 400, {}, Outcome::success);  // full windows of successes
         int left = failures;
         while (left > 0) {
             const RequestId id = rig.request();
             const bool fail = rig.where(id) == 1;
-            rig.end(id, fail ? Outcome::errored : Outcome::completed, 10);
+            rig.end(id, fail ? Outcome::server_error : Outcome::success, 10);
             left -= fail;
         }
         EXPECT_EQ(rig.removals(), failures == 3 ? 1 : 0) << failures;
@@ -56,7 +56,7 @@
         const RequestId id = rig.request();
         const bool fail = rig.where(id) == 1 && on_one++ % 15 == 0;  // never three within twenty
         failed += fail;
-        rig.end(id, fail ? Outcome::errored : Outcome::completed, 10);
+        rig.end(id, fail ? Outcome::server_error : Outcome::success, 10);
     }
     EXPECT_GT(failed, 20);
     EXPECT_EQ(rig.removals(), 0);
@@ -68,10 +68,10 @@
         const auto ids = rig.burst(32, 5000);  // several to each server at once
         rig.now += 10;
         for (const RequestId id : ids)
-            if (rig.out(id) && rig.where(id) != 1) rig.end(id, Outcome::completed, 0);
+            if (rig.out(id) && rig.where(id) != 1) rig.end(id, Outcome::success, 0);
         rig.now += 690;
         for (const RequestId id : ids)
-            if (rig.out(id)) rig.end(id, Outcome::completed, 0);
+            if (rig.out(id)) rig.end(id, Outcome::success, 0);
     }
     EXPECT_EQ(rig.removals(), 1);
     EXPECT_NE(rig.where(rig.request()), 1U);
@@ -81,22 +81,22 @@
     Rig rig = pool(6);
     for (int i = 0; i < 600; ++i) {
         const RequestId id = rig.request();
-        if (rig.out(id)) rig.end(id, i % 3 ? Outcome::completed : Outcome::errored, 10);
+        if (rig.out(id)) rig.end(id, i % 3 ? Outcome::success : Outcome::server_error, 10);
     }
     EXPECT_EQ(rig.removals(), 0) << "every third request fails everywhere: that tells nothing of a server";
 }
 
 TEST(Verdict, PanicThresholdKeepsHalfOfThePool) {
     Rig rig = pool(6);
-    for (ServerId bad = 1; bad <= 5; ++bad) {  // one after the other, so that each stands out
-        play(rig, 60, {bad}, Outcome::errored);
+    for (EndpointId bad = 1; bad <= 5; ++bad) {  // one after the other, so that each stands out
+        play(rig, 60, {bad}, Outcome::server_error);
         EXPECT_EQ(rig.removals(), std::min<int>(3, static_cast<int>(bad)));
     }
 }
 
 TEST(Verdict, WhatIsCertainNeedNotWaitForAFullWindow) {
     Rig rig = pool(4);
-    const int met = play(rig, 200, {1}, Outcome::severed);
+    const int met = play(rig, 200, {1}, Outcome::connection_reset);
     EXPECT_EQ(rig.removals(), 1);
     EXPECT_EQ(met, 3) << "three failures of any twenty are under 0.9";
 }
@@ -105,14 +105,14 @@
 
 // Server 1 removed and its backoff just over; returns the request that is its trial.
 RequestId trial(Rig& rig) {
-    play(rig, 120, {1}, Outcome::errored);
+    play(rig, 120, {1}, Outcome::server_error);
     EXPECT_EQ(rig.removals(), 1);
     rig.pass(10001);
     RequestId id = 0;
     for (int i = 0; i < 200; ++i) {
         id = rig.request();
         if (rig.where(id) == 1) return id;
-        rig.end(id, Outcome::completed, 10);
+        rig.end(id, Outcome::success, 10);
     }
     ADD_FAILURE() << "no trial";
     return id;
@@ -124,21 +124,21 @@
     for (int i = 0; i < 50; ++i) {
         const RequestId other = rig.request();
         EXPECT_NE(rig.where(other), 1U) << "one trial is enough";
-        rig.end(other, Outcome::completed, 1);
+        rig.end(other, Outcome::success, 1);
     }
-    rig.end(id, Outcome::completed, 1);
+    rig.end(id, Outcome::success, 1);
     EXPECT_EQ(rig.logs.back(), "restored after a trial");
-    EXPECT_GT(play(rig, 100, {1}, Outcome::completed), 0);
+    EXPECT_GT(play(rig, 100, {1}, Outcome::success), 0);
 }
 
 TEST(Trial, SuccessGivesAFreshWindow) {
     Rig rig = pool(4);
-    rig.end(trial(rig), Outcome::completed, 1);
+    rig.end(trial(rig), Outcome::success, 1);
     int left = 2;
     while (left > 0) {
         const RequestId id = rig.request();
         const bool fail = rig.where(id) == 1;
-        rig.end(id, fail ? Outcome::errored : Outcome::completed, 10);
+        rig.end(id, fail ? Outcome::server_error : Outcome::success, 10);
         left -= fail;
     }
     EXPECT_EQ(rig.removals(), 1) << "two failures of twenty are borne: the old ones are forgotten";
@@ -146,19 +146,19 @@
 
 TEST(Trial, FailureStartsAnotherBackoff) {
     Rig rig = pool(4);
-    rig.end(trial(rig), Outcome::errored, 1);
-    EXPECT_EQ(play(rig, 100, {1}, Outcome::errored), 0);
+    rig.end(trial(rig), Outcome::server_error, 1);
+    EXPECT_EQ(play(rig, 100, {1}, Outcome::server_error), 0);
     rig.pass(10001);
-    EXPECT_GT(play(rig, 100, {1}, Outcome::errored), 0);
+    EXPECT_GT(play(rig, 100, {1}, Outcome::server_error), 0);
 }
 
 TEST(Trial, AnUndecidedOneIsTakenAgain) {
     Rig rig = pool(4);
     const RequestId id = trial(rig);
     rig.requests.at(id).gone = true;
-    rig.give(ClientGone{id});
-    rig.end(id, Outcome::recalled, 1);
-    EXPECT_GT(play(rig, 200, {1}, Outcome::completed), 0) << "still due";
+    rig.give(ClientDisconnected{id});
+    rig.end(id, Outcome::cancelled, 1);
+    EXPECT_GT(play(rig, 200, {1}, Outcome::success), 0) << "still due";
 }
 
 // ---- Pick -----------------------------------------------------------------------------------------------
@@ -169,7 +169,7 @@
     for (int i = 0; i < 20; ++i) {
         const RequestId id = rig.request();
         EXPECT_NE(rig.where(id), rig.where(first));
-        rig.end(id, Outcome::completed, 1);
+        rig.end(id, Outcome::success, 1);
     }
 }
 
@@ -177,7 +177,7 @@
     Rig rig = pool(10);
     std::vector<RequestId> busy;
     for (int i = 0; i < 200; ++i) busy.push_back(rig.request(0, 100000));
-    std::map<ServerId, int> load;
+    std::map<EndpointId, int> load;
     for (const RequestId id : busy) ++load[rig.where(id)];
     EXPECT_EQ(load.size(), 10U);
     int most = 0, least = 1000;
@@ -188,10 +188,10 @@
 
 TEST(Pick, ARetryGoesToAServerNotYetTried) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        Rig rig = pool(3, seed, Effect::repeatable);
+        Rig rig = pool(3, seed, Idempotency::idempotent);
         const RequestId id = rig.request();
-        const ServerId first = rig.where(id);
-        rig.end(id, Outcome::errored, 10);
+        const EndpointId first = rig.where(id);
+        rig.end(id, Outcome::server_error, 10);
         ASSERT_EQ(rig.sends(id), 2U);
         EXPECT_NE(rig.where(id), first);
     }
@@ -201,13 +201,13 @@
 
 TEST(SlowStart, AColdServerGetsItsShareAndAWarmOneItsOwn) {
     Rig rig = pool(4);
-    play(rig, 1000, {}, Outcome::completed);
-    rig.list(ListKind::incremental, {{9, 0, 0, Phase::on, rig.now}});
-    std::map<ServerId, int> load;
+    play(rig, 1000, {}, Outcome::success);
+    rig.list(EndpointUpdateKind::incremental, {{9, 0, 0, EndpointState::serving, rig.now}});
+    std::map<EndpointId, int> load;
     for (int i = 0; i < 400; ++i) {
         const RequestId id = rig.request();
         ++load[rig.where(id)];
-        rig.end(id, Outcome::completed, 10);
+        rig.end(id, Outcome::success, 10);
     }
     EXPECT_GT(load[9], 0);
     EXPECT_LT(load[9], load[1] * 0.65) << "four seconds old: a third of its capacity, with leave to spare";
@@ -216,7 +216,7 @@
     for (int i = 0; i < 400; ++i) {
         const RequestId id = rig.request();
         ++load[rig.where(id)];
-        rig.end(id, Outcome::completed, 10);
+        rig.end(id, Outcome::success, 10);
     }
     EXPECT_GT(load[9], 50);
 }
@@ -224,12 +224,12 @@
 // ---- Retry budget, admission, list ----------------------------------------------------------------------
 
 TEST(RetryBudget, AFailingPoolIsNotAskedAsOftenAsTheLimitsAllow) {
-    Rig rig = pool(6, 1, Effect::repeatable);
+    Rig rig = pool(6, 1, Idempotency::idempotent);
     std::size_t sends = 0;
     const int requests = 500;
     for (int i = 0; i < requests; ++i) {
         const RequestId id = rig.request();
-        while (rig.out(id)) rig.end(id, Outcome::errored, 2);
+        while (rig.out(id)) rig.end(id, Outcome::server_error, 2);
         sends += rig.sends(id);
     }
     EXPECT_GT(sends, requests * 1.1);
@@ -257,7 +257,7 @@
         EXPECT_LE(advice, 600);
     }
     Rig empty = pool(1);
-    empty.list(ListKind::incremental, {{1, 0, 0, Phase::fading, 0}});
+    empty.list(EndpointUpdateKind::incremental, {{1, 0, 0, EndpointState::draining, 0}});
     empty.request();
     empty.pass(100);
     EXPECT_EQ(empty.advice, std::vector<Millis>{10000});
@@ -272,10 +272,10 @@
 TEST(List, ItIsSubscribedToAtTheStartWhereItMustBeAsked) {
     for (const bool asked : {false, true}) {
         Settings s = make_settings();
-        s.list_on_request = asked;
+        s.polled_discovery = asked;
         Rig rig(s);
         rig.give(Started{});
-        EXPECT_EQ(rig.count<Subscribe>(), asked ? 1 : 0);
+        EXPECT_EQ(rig.count<SubscribeEndpoints>(), asked ? 1 : 0);
     }
 }
 
@@ -283,12 +283,12 @@
     std::set<Millis> waits;
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         Settings s = make_settings();
-        s.list_on_request = true;
+        s.polled_discovery = true;
         Rig rig(s, seed);
         rig.give(Started{});
         Millis last_wait = 0, total = 0;
         for (int i = 0; i < 3; ++i) {
-            rig.list(ListKind::failed, {});
+            rig.list(EndpointUpdateKind::failed, {});
             ASSERT_EQ(rig.timers.size(), 1U);
             last_wait = rig.timers.begin()->first - rig.now;
             if (i == 0) waits.insert(last_wait);
@@ -297,7 +297,7 @@
             const TimerToken token = rig.timers.begin()->second;
             rig.timers.clear();
             rig.give(TimerFired{token});
-            EXPECT_EQ(rig.count<Subscribe>(), 1);
+            EXPECT_EQ(rig.count<SubscribeEndpoints>(), 1);
         }
         EXPECT_GE(total, 2500);
         EXPECT_LE(last_wait, 3000);
@@ -307,17 +307,17 @@
 
 TEST(List, AFailedCallKeepsTheListInForce) {
     Rig rig = pool(2);
-    rig.list(ListKind::failed, {});
+    rig.list(EndpointUpdateKind::failed, {});
     EXPECT_TRUE(rig.out(rig.request()));
 }
 
 TEST(List, HeldRequestsGoOutWhenAServerAppears) {
     Rig rig(make_settings());
-    rig.list(ListKind::saved, {});
+    rig.list(EndpointUpdateKind::cached, {});
     const RequestId id = rig.request();
     EXPECT_FALSE(rig.out(id));
     rig.now += 5;
-    rig.list(ListKind::full, make_servers(2));
+    rig.list(EndpointUpdateKind::full, make_servers(2));
     EXPECT_TRUE(rig.out(id));
 }
 
@@ -338,17 +338,17 @@
         EXPECT_NE(complaint(change).find(name), std::string::npos) << complaint(change);
     };
     names([](Settings& s) { s.classes.clear(); }, "classes");
-    names([](Settings& s) { s.classes[0].aim = 0; }, "classes[0].aim");
-    names([](Settings& s) { s.classes[0].aim = NAN; }, "classes[0].aim");
-    names([](Settings& s) { s.classes[0].worth = -1; }, "classes[0].worth");
+    names([](Settings& s) { s.classes[0].latency_objective = 0; }, "classes[0].aim");
+    names([](Settings& s) { s.classes[0].latency_objective = NAN; }, "classes[0].aim");
+    names([](Settings& s) { s.classes[0].priority_weight = -1; }, "classes[0].worth");
     names([](Settings& s) { s.classes[0].dedup_window = -1; }, "classes[0].dedup_window");
-    names([](Settings& s) { s.classes[0].aim_stretch = INFINITY; }, "classes[0].aim_stretch");
-    names([](Settings& s) { s.siblings = 0; }, "siblings");
+    names([](Settings& s) { s.classes[0].objective_per_effort = INFINITY; }, "classes[0].aim_stretch");
+    names([](Settings& s) { s.sidecar_count = 0; }, "siblings");
     names([](Settings& s) { s.max_attempts = 0; }, "max_attempts");
-    names([](Settings& s) { s.ask_within = -1; }, "ask_within");
-    names([](Settings& s) { s.warm_within = -1; }, "warm_within");
-    names([](Settings& s) { s.fall_multiple = 0.5; }, "fall_multiple");
-    names([](Settings& s) { s.cold_from = 1.5; }, "cold_from");
+    names([](Settings& s) { s.poll_interval = -1; }, "ask_within");
+    names([](Settings& s) { s.slow_start_duration = -1; }, "warm_within");
+    names([](Settings& s) { s.slow_start_overload_factor = 0.5; }, "fall_multiple");
+    names([](Settings& s) { s.slow_start_least_share = 1.5; }, "cold_from");
     names([](Settings& s) { s.fees.cross_zone = -0.1; }, "fees.cross_zone");
     names([](Settings& s) { s.fees.probe = -0.1; }, "fees.probe");
     EXPECT_EQ(complaint([](Settings&) {}), "accepted");
@@ -357,23 +357,23 @@
 TEST(Events, AboutUnknownOrFinishedThingsDoNothing) {
     Rig rig = pool(2);
     const RequestId id = rig.request();
-    rig.end(id, Outcome::completed, 10);
+    rig.end(id, Outcome::success, 10);
     const auto nothing = [&](const Event& event) {
         std::vector<Action> actions;
         rig.balancer.handle(rig.now, event, actions);
         EXPECT_TRUE(actions.empty());
     };
-    nothing(AttemptEnded{id, 0, Outcome::errored, 5, true});
-    nothing(AttemptEnded{999, 0, Outcome::errored, 5, false});
-    nothing(ClientGone{id});
-    nothing(ClientGone{999});
-    nothing(FirstByte{999, 0});
+    nothing(AttemptEnded{id, 0, Outcome::server_error, 5, true});
+    nothing(AttemptEnded{999, 0, Outcome::server_error, 5, false});
+    nothing(ClientDisconnected{id});
+    nothing(ClientDisconnected{999});
+    nothing(ResponseStarted{999, 0});
     nothing(TimerFired{12345});
-    nothing(ProbeEnded{77, Outcome::completed, 1});
-    nothing(PeerMessage{3, {1, 2, 3}});
+    nothing(ProbeEnded{77, Outcome::success, 1});
+    nothing(GossipReceived{3, {1, 2, 3}});
     const RequestId open = rig.request();
-    nothing(AttemptEnded{open, 7, Outcome::errored, 5, false});
-    rig.end(open, Outcome::completed, 10);
+    nothing(AttemptEnded{open, 7, Outcome::server_error, 5, false});
+    rig.end(open, Outcome::success, 10);
 }
 
 TEST(Events, AClockThatStepsBackIsHeld) {
@@ -386,7 +386,7 @@
             EXPECT_EQ(timer->at, rig.now + 1000);
         }
     EXPECT_FALSE(actions.empty());
-    rig.end(id, Outcome::completed, 10);
+    rig.end(id, Outcome::success, 10);
 }
 
 }  // namespace
--- a/tests/balancer/many_sidecars_test.cpp
+++ b/tests/balancer/many_sidecars_test.cpp
@@ -8,19 +8,19 @@
 
 // Many light sidecars, each with the same warm servers and one that has just started; each has a few
 // requests, answered at once. Returns what share of a warm server's sends the cold one got.
-double cold_part(std::uint32_t sidecars, int requests_each, ServerId warm, Millis age) {
+double cold_part(std::uint32_t sidecars, int requests_each, EndpointId warm, Millis age) {
     double cold = 0, others = 0;
     for (std::uint32_t n = 0; n < sidecars; ++n) {
-        Settings s = make_settings({make_class(Effect::once)});
-        s.siblings = sidecars;
+        Settings s = make_settings({make_class(Idempotency::not_idempotent)});
+        s.sidecar_count = sidecars;
         Rig rig(s, n + 1);
-        rig.list(ListKind::full, make_servers(warm));
-        rig.list(ListKind::incremental, {{warm + 1, 0, 0, Phase::on, rig.now - age}});
+        rig.list(EndpointUpdateKind::full, make_servers(warm));
+        rig.list(EndpointUpdateKind::incremental, {{warm + 1, 0, 0, EndpointState::serving, rig.now - age}});
         for (int i = 0; i < requests_each; ++i) {
             const RequestId id = rig.request();
             if (!rig.out(id)) continue;
             (rig.where(id) == warm + 1 ? cold : others) += 1;
-            rig.end(id, Outcome::completed, 0.25);  // so that it does not grow warm meanwhile
+            rig.end(id, Outcome::success, 0.25);  // so that it does not grow warm meanwhile
         }
     }
     return cold / (others / warm);
@@ -37,10 +37,10 @@
 
 TEST(Fleet, AColdServerIsNoWayRoundAFullRoom) {
     // Slow answers have shut the room: what finds none must not go to the one cold server instead.
-    Rig rig(make_settings({make_class(Effect::once)}));
-    rig.list(ListKind::full, make_servers(4));
+    Rig rig(make_settings({make_class(Idempotency::not_idempotent)}));
+    rig.list(EndpointUpdateKind::full, make_servers(4));
     for (int i = 0; i < 60; ++i) rig.serve(rig.burst(40, 5000), 600);
-    rig.list(ListKind::incremental, {{9, 0, 0, Phase::on, rig.now}});
+    rig.list(EndpointUpdateKind::incremental, {{9, 0, 0, EndpointState::serving, rig.now}});
     const auto ids = rig.burst(200, 5000);
     const auto cold = std::count_if(ids.begin(), ids.end(),
                                     [&](RequestId id) { return rig.out(id) && rig.where(id) == 9; });
@@ -50,47 +50,48 @@
 
 TEST(Fleet, LightSidecarsDrawServersByTheirRegisteredSize) {
     // Every queue of their own is empty, so nothing but the draw can spare the small servers.
-    std::map<ServerId, double> load;
+    std::map<EndpointId, double> load;
     for (std::uint64_t n = 1; n <= 1000; ++n) {
-        Settings settings = make_settings({make_class(Effect::once)});
-        settings.siblings = 1000, settings.my_number = static_cast<std::uint32_t>(n - 1);
+        Settings settings = make_settings({make_class(Idempotency::not_idempotent)});
+        settings.sidecar_count = 1000, settings.sidecar_index = static_cast<std::uint32_t>(n - 1);
         Rig rig(settings, n);
         auto servers = make_servers(20);
-        for (ServerInfo& s : servers) s.units = s.id % 3 == 0 ? 3 : 1;
-        rig.list(ListKind::full, servers);
+        for (Endpoint& s : servers) s.capacity_weight = s.id % 3 == 0 ? 3 : 1;
+        rig.list(EndpointUpdateKind::full, servers);
         for (int i = 0; i < 4; ++i) {
             const RequestId id = rig.request();
             load[rig.where(id) % 3 == 0] += 1;
-            rig.end(id, Outcome::completed, 0);
+            rig.end(id, Outcome::success, 0);
         }
     }
     EXPECT_NEAR((load[true] / 6) / (load[false] / 14), 3, 0.5);
 }
 
 TEST(Fleet, UnitsThatMakeNoSenseCountAsOne) {
-    Rig rig(make_settings({make_class(Effect::once)}));
+    Rig rig(make_settings({make_class(Idempotency::not_idempotent)}));
     auto servers = make_servers(3);
-    servers[0].units = 0, servers[1].units = -2, servers[2].units = std::nan("");
-    rig.list(ListKind::full, servers);
-    std::set<ServerId> met;
+    servers[0].capacity_weight = 0, servers[1].capacity_weight = -2,
+    servers[2].capacity_weight = std::nan("");
+    rig.list(EndpointUpdateKind::full, servers);
+    std::set<EndpointId> met;
     for (int i = 0; i < 60; ++i) {
         const RequestId id = rig.request();
         met.insert(rig.where(id));
-        rig.end(id, Outcome::completed, 0);
+        rig.end(id, Outcome::success, 0);
     }
     EXPECT_EQ(met.size(), 3U);
 }
 
 // Whether the connection to the server is closed after an answer, with `servers` of them and a request every
 // `gap`.
-bool closes(ServerId servers, Millis gap) {
-    Rig rig(make_settings({make_class(Effect::once)}));
-    rig.list(ListKind::full, make_servers(servers));
+bool closes(EndpointId servers, Millis gap) {
+    Rig rig(make_settings({make_class(Idempotency::not_idempotent)}));
+    rig.list(EndpointUpdateKind::full, make_servers(servers));
     int closed = 0;
     for (int i = 0; i < 60; ++i) {
         rig.pass(gap);
-        rig.end(rig.request(), Outcome::completed, 0);
-        closed = rig.count<CloseIdle>();
+        rig.end(rig.request(), Outcome::success, 0);
+        closed = rig.count<CloseIdleConnections>();
     }
     return closed > 0;
 }
@@ -101,31 +102,32 @@
     EXPECT_FALSE(closes(5, 500));
 }
 
-// ---- Probe race -----------------------------------------------------------------------------------------
+// ---- SendProbe race
+// -----------------------------------------------------------------------------------------
 
 // A light sidecar (twenty servers, a request every 700 ms) whose last attempts have come too late.
 Rig troubled(bool may_probe = true, double fee = 0) {
-    Settings s = make_settings({make_class(Effect::once)});
-    s.may_probe = may_probe;
+    Settings s = make_settings({make_class(Idempotency::not_idempotent)});
+    s.probes_allowed = may_probe;
     s.fees.probe = fee;
     Rig rig(s);
-    rig.list(ListKind::full, make_servers(20));
+    rig.list(EndpointUpdateKind::full, make_servers(20));
     for (int i = 0; i < 12; ++i) {
         rig.pass(700);
         const RequestId id = rig.request(0, 3000);
         for (const Action& a : std::vector<Action>(rig.last))
-            if (const auto* probe = std::get_if<Probe>(&a))
-                if (!rig.out(id)) rig.give(ProbeEnded{probe->server, Outcome::completed, 1});
-        if (rig.out(id)) rig.end(id, i < 10 ? Outcome::completed : Outcome::severed, 10);
+            if (const auto* probe = std::get_if<SendProbe>(&a))
+                if (!rig.out(id)) rig.give(ProbeEnded{probe->endpoint, Outcome::success, 1});
+        if (rig.out(id)) rig.end(id, i < 10 ? Outcome::success : Outcome::connection_reset, 10);
     }
     rig.pass(700);
     return rig;
 }
 
-std::vector<ServerId> probed(const Rig& rig) {
-    std::vector<ServerId> servers;
+std::vector<EndpointId> probed(const Rig& rig) {
+    std::vector<EndpointId> servers;
     for (const Action& a : rig.last)
-        if (const auto* probe = std::get_if<Probe>(&a)) servers.push_back(probe->server);
+        if (const auto* probe = std::get_if<SendProbe>(&a)) servers.push_back(probe->endpoint);
     return servers;
 }
 
@@ -135,21 +137,21 @@
     const auto asked = probed(rig);
     ASSERT_EQ(asked.size(), 2U);
     EXPECT_FALSE(rig.out(id));
-    rig.give(ProbeEnded{asked[1], Outcome::completed, 2});
+    rig.give(ProbeEnded{asked[1], Outcome::success, 2});
     ASSERT_TRUE(rig.out(id));
     EXPECT_EQ(rig.where(id), asked[1]);
-    rig.give(ProbeEnded{asked[0], Outcome::completed, 3});
+    rig.give(ProbeEnded{asked[0], Outcome::success, 3});
     EXPECT_EQ(rig.sends(id), 1U) << "the later answer sends nothing";
-    rig.end(id, Outcome::completed);
+    rig.end(id, Outcome::success);
 }
 
 TEST(Race, WhereNoProbeIsAnsweredTheRequestStillGoesOut) {
     Rig rig = troubled();
     const RequestId id = rig.request();
     for (int round = 0; round < 5 && !rig.out(id); ++round)
-        for (const ServerId s : probed(rig)) rig.give(ProbeEnded{s, Outcome::overdue, 100});
+        for (const EndpointId s : probed(rig)) rig.give(ProbeEnded{s, Outcome::timeout, 100});
     EXPECT_TRUE(rig.out(id));
-    rig.end(id, Outcome::completed);
+    rig.end(id, Outcome::success);
 }
 
 TEST(Race, ProbesThatNeverEndLeaveARequestAnsweredInTime) {
@@ -166,11 +168,12 @@
     const RequestId id = rig.request();
     const auto asked = probed(rig);
     ASSERT_EQ(asked.size(), 2U);
-    rig.list(ListKind::incremental, {{asked[0], 0, 0, Phase::off, 0}, {asked[1], 0, 0, Phase::off, 0}});
-    for (const ServerId s : probed(rig))
-        if (!rig.out(id)) rig.give(ProbeEnded{s, Outcome::completed, 2});
+    rig.list(EndpointUpdateKind::incremental,
+             {{asked[0], 0, 0, EndpointState::gone, 0}, {asked[1], 0, 0, EndpointState::gone, 0}});
+    for (const EndpointId s : probed(rig))
+        if (!rig.out(id)) rig.give(ProbeEnded{s, Outcome::success, 2});
     ASSERT_TRUE(rig.out(id));
-    rig.end(id, Outcome::completed);
+    rig.end(id, Outcome::success);
 }
 
 TEST(Race, NoProbesWhereNotAllowedNorWhileAllComesInTimeNorAtABusySidecar) {
@@ -180,15 +183,15 @@
         EXPECT_TRUE(probed(rig).empty());
     }
     for (const Millis gap : {700.0, 1.0}) {
-        Settings s = make_settings({make_class(Effect::once)});
-        s.may_probe = true;
+        Settings s = make_settings({make_class(Idempotency::not_idempotent)});
+        s.probes_allowed = true;
         Rig rig(s);
-        rig.list(ListKind::full, make_servers(20));
+        rig.list(EndpointUpdateKind::full, make_servers(20));
         for (int i = 0; i < 60; ++i) {
             rig.pass(gap);
             const RequestId id = rig.request();
             EXPECT_TRUE(probed(rig).empty());
-            rig.end(id, gap < 10 && i % 10 == 0 ? Outcome::severed : Outcome::completed, 1);
+            rig.end(id, gap < 10 && i % 10 == 0 ? Outcome::connection_reset : Outcome::success, 1);
         }
     }
 }
@@ -207,9 +210,9 @@
     for (int i = 0; i < 12; ++i) {
         rig.pass(700);
         const RequestId id = rig.request();
-        for (const ServerId s : probed(rig))
-            if (!rig.out(id)) rig.give(ProbeEnded{s, Outcome::completed, 1});
-        if (rig.out(id)) rig.end(id, Outcome::severed, 10);
+        for (const EndpointId s : probed(rig))
+            if (!rig.out(id)) rig.give(ProbeEnded{s, Outcome::success, 1});
+        if (rig.out(id)) rig.end(id, Outcome::connection_reset, 10);
     }
     rig.pass(700);
     rig.request();
@@ -221,17 +224,17 @@
     const RequestId id = rig.request();
     const auto asked = probed(rig);
     ASSERT_EQ(asked.size(), 2U);
-    rig.list(ListKind::incremental, {{asked[0], 0, 0, Phase::fading, 0}});
-    rig.give(ProbeEnded{asked[0], Outcome::completed, 2});
+    rig.list(EndpointUpdateKind::incremental, {{asked[0], 0, 0, EndpointState::draining, 0}});
+    rig.give(ProbeEnded{asked[0], Outcome::success, 2});
     EXPECT_FALSE(rig.out(id));
-    rig.give(ProbeEnded{asked[1], Outcome::completed, 3});
+    rig.give(ProbeEnded{asked[1], Outcome::success, 3});
     EXPECT_TRUE(rig.out(id));
-    rig.end(id, Outcome::completed);
+    rig.end(id, Outcome::success);
 }
 
-Rig pool_of(ServerId count) {
-    Rig rig(make_settings({make_class(Effect::once)}));
-    rig.list(ListKind::full, make_servers(count));
+Rig pool_of(EndpointId count) {
+    Rig rig(make_settings({make_class(Idempotency::not_idempotent)}));
+    rig.list(EndpointUpdateKind::full, make_servers(count));
     return rig;
 }
 
@@ -241,12 +244,12 @@
 std::vector<std::pair<std::uint32_t, std::vector<std::uint8_t>>> told(bool may_tell, Outcome outcome,
                                                                       std::size_t length = 4,
                                                                       std::uint32_t siblings = 160) {
-    Settings s = make_settings({make_class(Effect::once)});
-    s.may_tell = may_tell;
-    s.siblings = siblings;
-    s.my_number = 7;
+    Settings s = make_settings({make_class(Idempotency::not_idempotent)});
+    s.gossip_allowed = may_tell;
+    s.sidecar_count = siblings;
+    s.sidecar_index = 7;
     Rig rig(s);
-    rig.list(ListKind::full, make_servers(20));
+    rig.list(EndpointUpdateKind::full, make_servers(20));
     std::vector<std::pair<std::uint32_t, std::vector<std::uint8_t>>> messages;
     for (int i = 0; i < 30; ++i) {
         rig.pass(700);
@@ -254,14 +257,14 @@
         if (!rig.out(id)) continue;
         rig.end(id, outcome, 10);
         for (const Action& a : rig.last)
-            if (const auto* tell = std::get_if<TellPeer>(&a); tell && tell->bytes.size() == length)
+            if (const auto* tell = std::get_if<SendGossip>(&a); tell && tell->bytes.size() == length)
                 messages.emplace_back(tell->to.value(), tell->bytes);
     }
     return messages;
 }
 
 TEST(Gossip, FailuresAreToldToAFewOtherPeersAndSuccessesToNone) {
-    const auto failed = told(true, Outcome::severed);
+    const auto failed = told(true, Outcome::connection_reset);
     EXPECT_GT(failed.size(), 20U);
     EXPECT_LT(failed.size(), 30U * 160 / 3);
     for (const auto& [peer, bytes] : failed) {
@@ -269,47 +272,48 @@
         EXPECT_NE(peer, 7U) << "not itself";
         EXPECT_EQ(bytes.size(), 4U);
     }
-    EXPECT_TRUE(told(true, Outcome::completed).empty());
-    EXPECT_TRUE(told(false, Outcome::severed).empty()) << "where it is not allowed";
+    EXPECT_TRUE(told(true, Outcome::success).empty());
+    EXPECT_TRUE(told(false, Outcome::connection_reset).empty()) << "where it is not allowed";
 }
 
 // Each sidecar sends and gets as many messages in a fleet of thousands as in one of hundreds.
 TEST(Gossip, CostsASidecarNoMoreInALargerFleet) {
     constexpr std::size_t kFailureBytes = 4, kPulseBytes = 1;
     constexpr std::uint32_t kHundreds = 350, kThousands = 3500;
-    const auto failures = told(true, Outcome::severed, kFailureBytes, kHundreds).size();
-    EXPECT_LE(told(true, Outcome::severed, kFailureBytes, kThousands).size(), failures * 11 / 10);
-    const auto pulses = told(true, Outcome::completed, kPulseBytes, kHundreds).size();
-    EXPECT_LE(told(true, Outcome::completed, kPulseBytes, kThousands).size(), pulses * 11 / 10);
+    const auto failures = told(true, Outcome::connection_reset, kFailureBytes, kHundreds).size();
+    EXPECT_LE(told(true, Outcome::connection_reset, kFailureBytes, kThousands).size(), failures * 11 / 10);
+    const auto pulses = told(true, Outcome::success, kPulseBytes, kHundreds).size();
+    EXPECT_LE(told(true, Outcome::success, kPulseBytes, kThousands).size(), pulses * 11 / 10);
 }
 
 TEST(Gossip, HowLongAnswersTakeIsToldToFewerEveryTenth) {
-    const auto pulses = told(true, Outcome::completed, 1);
+    const auto pulses = told(true, Outcome::success, 1);
     EXPECT_GT(pulses.size(), 3U * 5);
     EXPECT_LE(pulses.size(), 3U * 10);
     for (const auto& [peer, bytes] : pulses)
         EXPECT_EQ(bytes.at(0), 2) << "10 ms of an aim of 400, in hundredths";
-    EXPECT_TRUE(told(false, Outcome::completed, 1).empty()) << "where it is not allowed";
+    EXPECT_TRUE(told(false, Outcome::success, 1).empty()) << "where it is not allowed";
 }
 
 // A request now and then, as one of many sidecars gets them: no window fills within a backoff.
 constexpr Millis kThin = 100;
 
-int sent_to(Rig& rig, ServerId server, int requests) {
+int sent_to(Rig& rig, EndpointId server, int requests) {
     int met = 0;
     for (int i = 0; i < requests; ++i) {
         rig.pass(kThin);
         const RequestId id = rig.request();
         met += rig.where(id) == server;
-        rig.end(id, Outcome::completed, 0);
+        rig.end(id, Outcome::success, 0);
     }
     return met;
 }
 
-Rig warned(ServerId count, ServerId server, int messages) {
+Rig warned(EndpointId count, EndpointId server, int messages) {
     Rig rig = pool_of(count);
     sent_to(rig, 0, 5);
-    for (int i = 0; i < messages; ++i) rig.give(PeerMessage{3, {0, 0, 0, static_cast<std::uint8_t>(server)}});
+    for (int i = 0; i < messages; ++i)
+        rig.give(GossipReceived{3, {0, 0, 0, static_cast<std::uint8_t>(server)}});
     return rig;
 }
 
@@ -329,7 +333,7 @@
 TEST(Gossip, ADoubtedServerIsDrawnSeldom) {
     const auto held = [](int messages) {
         Rig rig = warned(10, 4, messages);
-        std::map<ServerId, int> out;
+        std::map<EndpointId, int> out;
         for (int i = 0; i < 60; ++i) rig.pass(kThin), out[rig.where(rig.request(0, 60000))] += 1;
         return out[4];
     };
@@ -343,9 +347,9 @@
         Rig rig = warned(10, 4, 0);
         for (int i = 0; i < 40; ++i) {
             rig.pass(kThin);
-            for (int m = 0; m < 10; ++m) rig.give(PeerMessage{3, {peers_say}});
+            for (int m = 0; m < 10; ++m) rig.give(GossipReceived{3, {peers_say}});
             const RequestId id = rig.request(0, 60000);
-            if (rig.out(id)) rig.end(id, Outcome::completed, 0);
+            if (rig.out(id)) rig.end(id, Outcome::success, 0);
         }
         return rig.still_out(rig.burst(40, 60000));
     };
@@ -361,7 +365,7 @@
         rig.pass(1);
         const RequestId id = rig.request();
         if (i >= 100) met += rig.where(id) == 4;
-        rig.end(id, Outcome::completed, 0);
+        rig.end(id, Outcome::success, 0);
     }
     EXPECT_GT(met, 5);
 }
@@ -370,35 +374,35 @@
     Rig rig = pool_of(10);
     sent_to(rig, 0, 5);
     for (int i = 0; i < 1000; ++i)
-        for (std::uint8_t s = 1; s <= 10; ++s) rig.give(PeerMessage{3, {0, 0, 0, s}});
-    rig.give(PeerMessage{3, {}});
-    rig.give(PeerMessage{3, {4}});
-    rig.give(PeerMessage{3, {0, 0, 0, 0, 4}});
-    rig.give(PeerMessage{3, std::vector<std::uint8_t>(256, 255)});
+        for (std::uint8_t s = 1; s <= 10; ++s) rig.give(GossipReceived{3, {0, 0, 0, s}});
+    rig.give(GossipReceived{3, {}});
+    rig.give(GossipReceived{3, {4}});
+    rig.give(GossipReceived{3, {0, 0, 0, 0, 4}});
+    rig.give(GossipReceived{3, std::vector<std::uint8_t>(256, 255)});
     EXPECT_EQ(rig.removals(), 0);
-    std::set<ServerId> met;
+    std::set<EndpointId> met;
     for (int i = 0; i < 300; ++i) {
         rig.pass(kThin);
         const RequestId id = rig.request();
         ASSERT_TRUE(rig.out(id));
         met.insert(rig.where(id));
-        rig.end(id, Outcome::completed, 0);
+        rig.end(id, Outcome::success, 0);
     }
     EXPECT_GE(met.size(), 9U) << "all doubted alike: all are used";
 }
 
 // How many of a burst go out just after the list has dropped to `left` of twenty servers.
-int let_out_after_drop(ServerId left) {
-    Settings s = make_settings({make_class(Effect::once)});
-    s.siblings = 100;
+int let_out_after_drop(EndpointId left) {
+    Settings s = make_settings({make_class(Idempotency::not_idempotent)});
+    s.sidecar_count = 100;
     Rig rig(s);
-    rig.list(ListKind::full, make_servers(20));
+    rig.list(EndpointUpdateKind::full, make_servers(20));
     for (int i = 0; i < 60; ++i) {
         rig.pass(50);
         const RequestId id = rig.request(0, 60000);
-        if (i >= 3) rig.end(id - 3, Outcome::completed, 0);
+        if (i >= 3) rig.end(id - 3, Outcome::success, 0);
     }
-    rig.list(ListKind::full, make_servers(left));
+    rig.list(EndpointUpdateKind::full, make_servers(left));
     return rig.still_out(rig.burst(40, 60000));
 }
 
@@ -409,20 +413,20 @@
 
 // How many of a burst go out after this many of twenty servers have refused connections for 2 s, the list
 // saying nothing; and, if they come up again, after a while more.
-int let_out_after_refusals(ServerId refusing, bool back) {
-    Settings s = make_settings({make_class(Effect::once)});
-    s.siblings = 100;
+int let_out_after_refusals(EndpointId refusing, bool back) {
+    Settings s = make_settings({make_class(Idempotency::not_idempotent)});
+    s.sidecar_count = 100;
     Rig rig(s);
-    rig.list(ListKind::full, make_servers(20));
+    rig.list(EndpointUpdateKind::full, make_servers(20));
     std::vector<RequestId> all;
     for (int i = 0; i < 400; ++i) {
         const bool down = i >= 60 && (i < 100 || !back);
         if (!back && i == 100) break;
         rig.pass(50);
         const RequestId id = rig.request(0, 60000);
-        while (down && rig.out(id) && rig.where(id) <= refusing) rig.end(id, Outcome::refused_connection, 0);
+        while (down && rig.out(id) && rig.where(id) <= refusing) rig.end(id, Outcome::connect_failure, 0);
         all.push_back(id);  // may be held, and go out later
-        if (i >= 3 && rig.out(all[i - 3])) rig.end(all[i - 3], Outcome::completed, 0);
+        if (i >= 3 && rig.out(all[i - 3])) rig.end(all[i - 3], Outcome::success, 0);
     }
     return rig.still_out(rig.burst(40, 60000));
 }
@@ -438,17 +442,17 @@
 // ---- Subset ---------------------------------------------------------------------------------------------
 
 // The servers that one of a hundred sidecars asks, with sixty of them and a request every `gap`.
-std::set<ServerId> asked(std::uint32_t number, Millis gap, const std::set<ServerId>& bad = {}) {
-    Settings s = make_settings({make_class(Effect::once)});
-    s.siblings = 100, s.my_number = number;
+std::set<EndpointId> asked(std::uint32_t number, Millis gap, const std::set<EndpointId>& bad = {}) {
+    Settings s = make_settings({make_class(Idempotency::not_idempotent)});
+    s.sidecar_count = 100, s.sidecar_index = number;
     Rig rig(s, number + 1);
-    rig.list(ListKind::full, make_servers(60));
-    std::set<ServerId> met;
+    rig.list(EndpointUpdateKind::full, make_servers(60));
+    std::set<EndpointId> met;
     for (int i = 0; i < 600; ++i) {
         rig.pass(gap);
         const RequestId id = rig.request();
         if (i >= 100) met.insert(rig.where(id));
-        rig.end(id, bad.count(rig.where(id)) > 0 ? Outcome::errored : Outcome::completed, 0);
+        rig.end(id, bad.count(rig.where(id)) > 0 ? Outcome::server_error : Outcome::success, 0);
     }
     return met;
 }
@@ -460,18 +464,18 @@
 }
 
 TEST(Subset, AllServersAreInAsMany) {
-    std::map<ServerId, int> uses;
+    std::map<EndpointId, int> uses;
     for (std::uint32_t n = 0; n < 100; ++n)
-        for (const ServerId s : asked(n, 30)) uses[s] += 1;
+        for (const EndpointId s : asked(n, 30)) uses[s] += 1;
     ASSERT_EQ(uses.size(), 60U);
     for (const auto& [s, n] : uses) EXPECT_NEAR(n, 100.0 * 20 / 60, 7) << s;
 }
 
 TEST(Subset, WhatIsRemovedIsMadeUpFor) {
-    const std::set<ServerId> before = asked(0, 30);
-    const std::set<ServerId> bad(before.begin(), std::next(before.begin(), 2));
+    const std::set<EndpointId> before = asked(0, 30);
+    const std::set<EndpointId> bad(before.begin(), std::next(before.begin(), 2));
     std::size_t good = 0;
-    for (const ServerId s : asked(0, 30, bad)) good += bad.count(s) == 0;
+    for (const EndpointId s : asked(0, 30, bad)) good += bad.count(s) == 0;
     EXPECT_GE(good, before.size()) << "others take their place";
 }
 
@@ -480,14 +484,14 @@
 TEST(Fleet, LightSidecarsShedByLotWhenThePoolIsFull) {
     int sent = 0, asked = 0;
     for (std::uint64_t n = 1; n <= 200; ++n) {
-        Settings s = make_settings({make_class(Effect::once)});
-        s.siblings = 1000;
+        Settings s = make_settings({make_class(Idempotency::not_idempotent)});
+        s.sidecar_count = 1000;
         Rig rig(s, n);
-        rig.list(ListKind::full, make_servers(20));
+        rig.list(EndpointUpdateKind::full, make_servers(20));
         for (int i = 0; i < 40; ++i) {
             rig.pass(500);
             const RequestId id = rig.request();
-            while (rig.out(id)) rig.end(id, Outcome::saturated, 1);
+            while (rig.out(id)) rig.end(id, Outcome::overloaded, 1);
             if (i >= 30) ++asked, sent += rig.sends(id) > 0;
         }
     }
--- a/tests/balancer/replay_test.cpp
+++ b/tests/balancer/replay_test.cpp
@@ -53,22 +53,22 @@
     std::mt19937_64 engine_;
 };
 
-void fold_action(Fold& fold, const Send& a) {
+void fold_action(Fold& fold, const SendAttempt& a) {
     fold.number(a.id);
-    fold.number(a.server);
-    fold.real(a.try_until);
-    fold.real(a.write_until);
+    fold.number(a.endpoint);
+    fold.real(a.give_up_at);
+    fold.real(a.write_before);
 }
-void fold_action(Fold& fold, const Cancel& a) {
+void fold_action(Fold& fold, const CancelAttempt& a) {
     fold.number(a.id);
     fold.number(a.attempt);
 }
-void fold_action(Fold& fold, const Refuse& a) {
+void fold_action(Fold& fold, const RejectRequest& a) {
     fold.number(a.id);
-    fold.real(a.retry_in);
+    fold.real(a.retry_after);
     fold.number(static_cast<std::uint64_t>(a.reason));
 }
-void fold_action(Fold& fold, const GiveUp& a) {
+void fold_action(Fold& fold, const FailRequest& a) {
     fold.number(a.id);
     fold.number(static_cast<std::uint64_t>(a.reason));
 }
@@ -76,52 +76,53 @@
     fold.real(a.at);
     fold.number(a.token);
 }
-void fold_action(Fold& fold, const Probe& a) { fold.number(a.server); }
-void fold_action(Fold& fold, const CloseIdle& a) { fold.number(a.server); }
-void fold_action(Fold& fold, const TellPeer& a) {
+void fold_action(Fold& fold, const SendProbe& a) { fold.number(a.endpoint); }
+void fold_action(Fold& fold, const CloseIdleConnections& a) { fold.number(a.endpoint); }
+void fold_action(Fold& fold, const SendGossip& a) {
     fold.number(a.to ? *a.to + 1ULL : 0);
     fold.bytes(a.bytes);
 }
-void fold_action(Fold& fold, const Subscribe& a) { fold.number(a.active ? 1 : 0); }
-void fold_action(Fold&, const FetchList&) {}
-void fold_action(Fold& fold, const Log& a) { fold.number(a.server ? *a.server + 1ULL : 0); }
-void fold_action(Fold& fold, const Share& a) {
-    fold.number(a.server);
-    fold.real(a.good);
-    fold.real(a.bad);
-    fold.real(a.pace);
-    fold.number(a.removed ? 1 : 0);
-    fold.number(a.restored ? 1 : 0);
+void fold_action(Fold& fold, const SubscribeEndpoints& a) { fold.number(a.active ? 1 : 0); }
+void fold_action(Fold&, const FetchEndpoints&) {}
+void fold_action(Fold& fold, const LogMessage& a) { fold.number(a.endpoint ? *a.endpoint + 1ULL : 0); }
+void fold_action(Fold& fold, const PublishEvidence& a) {
+    fold.number(a.endpoint);
+    fold.real(a.successes);
+    fold.real(a.failures);
+    fold.real(a.latency_ratio);
+    fold.number(a.ejected ? 1 : 0);
+    fold.number(a.recovered ? 1 : 0);
 }
 
 RequestClass draw_class(Draw& draw) {
     RequestClass drawn;
-    drawn.effect = draw.one_of({Effect::repeatable, Effect::by_key, Effect::once});
+    drawn.idempotency =
+        draw.one_of({Idempotency::idempotent, Idempotency::idempotent_with_key, Idempotency::not_idempotent});
     drawn.dedup_scope = draw.one_of({DedupScope::all, DedupScope::zone, DedupScope::cell});
     drawn.dedup_window = draw.one_of({0.0, 300.0, 1500.0, 5000.0});
-    drawn.aim = draw.between(60, 900);
-    drawn.aim_stretch = draw.chance(0.5) ? draw.between(0, 3) : 0;
-    drawn.worth = draw.between(0, 4);
+    drawn.latency_objective = draw.between(60, 900);
+    drawn.objective_per_effort = draw.chance(0.5) ? draw.between(0, 3) : 0;
+    drawn.priority_weight = draw.between(0, 4);
     return drawn;
 }
 
 Settings draw_settings(Draw& draw) {
     Settings drawn;
     for (std::uint64_t left = 1 + draw.below(4); left > 0; --left) drawn.classes.push_back(draw_class(draw));
-    if (draw.chance(0.7)) drawn.my_zone = static_cast<ZoneId>(draw.below(3));
-    drawn.siblings = draw.one_of<std::uint32_t>({1, 4, 30, 300, 900});
-    drawn.my_number = static_cast<std::uint32_t>(draw.below(drawn.siblings));
-    drawn.list_on_request = draw.chance(0.5);
-    drawn.ask_within = draw.one_of({0.0, 400.0, 2000.0});
+    if (draw.chance(0.7)) drawn.local_zone = static_cast<ZoneId>(draw.below(3));
+    drawn.sidecar_count = draw.one_of<std::uint32_t>({1, 4, 30, 300, 900});
+    drawn.sidecar_index = static_cast<std::uint32_t>(draw.below(drawn.sidecar_count));
+    drawn.polled_discovery = draw.chance(0.5);
+    drawn.poll_interval = draw.one_of({0.0, 400.0, 2000.0});
     drawn.max_attempts = static_cast<std::uint32_t>(1 + draw.below(4));
-    drawn.parallel_tries = draw.chance(0.5);
-    drawn.may_cancel = draw.chance(0.8);
-    drawn.may_probe = draw.chance(0.6);
-    drawn.share = draw.chance(0.4);
-    drawn.may_tell = draw.chance(0.6);
-    drawn.cold_from = draw.one_of({0.1, 0.3, 1.0});
-    drawn.warm_within = draw.one_of({0.0, 3000.0, 20000.0});
-    drawn.fall_multiple = draw.between(1, 4);
+    drawn.hedging_allowed = draw.chance(0.5);
+    drawn.cancel_allowed = draw.chance(0.8);
+    drawn.probes_allowed = draw.chance(0.6);
+    drawn.evidence_shared = draw.chance(0.4);
+    drawn.gossip_allowed = draw.chance(0.6);
+    drawn.slow_start_least_share = draw.one_of({0.1, 0.3, 1.0});
+    drawn.slow_start_duration = draw.one_of({0.0, 3000.0, 20000.0});
+    drawn.slow_start_overload_factor = draw.between(1, 4);
     drawn.fees.cross_zone = draw.one_of({0.0, 0.01, 0.2});
     drawn.fees.probe = draw.one_of({0.0, 0.002, 0.05});
     return drawn;
@@ -165,7 +166,7 @@
         Kind kind = Kind::timer;
         std::uint64_t id = 0;  // of a request, a timer or a server
         std::uint32_t attempt = 0;
-        Outcome outcome = Outcome::completed;
+        Outcome outcome = Outcome::success;
         Millis duration = 0;
     };
     struct OpenRequest {
@@ -180,27 +181,27 @@
     void start() {
         now_ = kBegin;
         mean_gap_ = draw_.one_of({3.0, 20.0, 120.0, 900.0});
-        for (ServerId id = 1, last = static_cast<ServerId>(1 + draw_.below(40)); id <= last; ++id)
+        for (EndpointId id = 1, last = static_cast<EndpointId>(1 + draw_.below(40)); id <= last; ++id)
             add_server(id * 7);
         give(Started{});
-        give(ServerList{ListKind::saved, listed()});
-        if (draw_.chance(0.3)) give(Recalled{{{7, draw_.between(0, 9000), draw_.unit()}, {14, 0, 0.4}}});
-        if (!settings_.list_on_request) give(ServerList{ListKind::full, listed()});
+        give(EndpointUpdate{EndpointUpdateKind::cached, listed()});
+        if (draw_.chance(0.3)) give(StateRestored{{{7, draw_.between(0, 9000), draw_.unit()}, {14, 0, 0.4}}});
+        if (!settings_.polled_discovery) give(EndpointUpdate{EndpointUpdateKind::full, listed()});
         at(draw_.between(0, mean_gap_), {Kind::arrival});
         at(draw_.between(500, 6000), {Kind::list_changes});
         at(draw_.between(50, 3000), {Kind::peer_message});
         at(draw_.between(3000, 60000), {Kind::settings_change});
-        if (settings_.share) at(draw_.between(100, 2000), {Kind::fleet_view});
+        if (settings_.evidence_shared) at(draw_.between(100, 2000), {Kind::fleet_view});
     }
 
-    void add_server(ServerId id) {
-        ServerInfo server;
+    void add_server(EndpointId id) {
+        Endpoint server;
         server.id = id;
         server.zone = static_cast<ZoneId>(draw_.below(3));
         server.cell = static_cast<std::uint32_t>(draw_.below(3));
-        server.phase = draw_.chance(0.9) ? Phase::on : Phase::fading;
-        server.online_since = draw_.chance(0.8) ? 0 : now_ - draw_.between(0, 10000);
-        server.units = draw_.one_of({1.0, 1.0, 2.5, 0.5, 0.0});
+        server.state = draw_.chance(0.9) ? EndpointState::serving : EndpointState::draining;
+        server.started_at = draw_.chance(0.8) ? 0 : now_ - draw_.between(0, 10000);
+        server.capacity_weight = draw_.one_of({1.0, 1.0, 2.5, 0.5, 0.0});
         servers_[id] = server;
         health_[id] = draw_health();
     }
@@ -212,8 +213,8 @@
                : drawn < 0.95 ? Health::unreachable
                               : Health::full;
     }
-    std::vector<ServerInfo> listed() const {
-        std::vector<ServerInfo> all;
+    std::vector<Endpoint> listed() const {
+        std::vector<Endpoint> all;
         for (const auto& [id, server] : servers_) all.push_back(server);
         return all;
     }
@@ -235,14 +236,14 @@
         for (const Action& action : actions) std::visit([this](const auto& a) { carry_out(a); }, action);
     }
     void fold_held() {
-        const auto held = balancer_.held();
-        for (const std::size_t count : {held.requests, held.servers, held.timers, held.removed})
+        const auto held = balancer_.usage();
+        for (const std::size_t count : {held.requests, held.endpoints, held.timers, held.ejected})
             fold_.number(count);
         if (handled_ % 50 != 0) return;
-        for (const Learnt& learnt : balancer_.learnt()) {
-            fold_.number(learnt.server);
-            fold_.real(learnt.removed_for);
-            fold_.real(learnt.pace);
+        for (const EndpointSnapshot& learnt : balancer_.snapshot()) {
+            fold_.number(learnt.endpoint);
+            fold_.real(learnt.ejected_for);
+            fold_.real(learnt.latency_ratio);
         }
     }
 
@@ -251,7 +252,7 @@
             case Kind::arrival:
                 return arrive();
             case Kind::first_byte:
-                if (attempt_in_flight(o)) give(FirstByte{o.id, o.attempt});
+                if (attempt_in_flight(o)) give(ResponseStarted{o.id, o.attempt});
                 return;
             case Kind::attempt_end:
                 return end_attempt(o);
@@ -260,11 +261,12 @@
             case Kind::timer:
                 return give(TimerFired{o.id});
             case Kind::probe_end:
-                return give(ProbeEnded{static_cast<ServerId>(o.id), o.outcome, o.duration});
+                return give(ProbeEnded{static_cast<EndpointId>(o.id), o.outcome, o.duration});
             case Kind::list_changes:
                 return change_list();
             case Kind::list_answer:
-                return give(ServerList{draw_.chance(0.3) ? ListKind::failed : ListKind::full, listed()});
+                return give(EndpointUpdate{
+                    draw_.chance(0.3) ? EndpointUpdateKind::failed : EndpointUpdateKind::full, listed()});
             case Kind::peer_message:
                 return receive_from_peer();
             case Kind::settings_change:
@@ -283,7 +285,7 @@
             static_cast<std::uint32_t>(draw_.below(settings_.classes.size() + (draw_.chance(0.05) ? 1 : 0)));
         event.time_left = draw_.one_of({0.0, 40.0, 400.0, 1500.0, 4000.0});
         event.effort = draw_.chance(0.5) ? draw_.between(0, 80) : 0;
-        event.repeat = draw_.chance(0.1);
+        event.client_retry = draw_.chance(0.1);
         if (draw_.chance(0.1)) event.settings = std::make_shared<const Settings>(settings_);
         if (draw_.chance(0.08)) at(draw_.between(0, 800), {Kind::client_leaves, id});
         if (last_request_ < kRequests) at(gap(), {Kind::arrival});
@@ -304,43 +306,44 @@
         if (!attempt_in_flight(o)) return;
         OpenRequest& request = requests_.at(o.id);
         request.in_flight[o.attempt] = false;
-        if (o.outcome == Outcome::completed) request.ended = true;
+        if (o.outcome == Outcome::success) request.ended = true;
         give(AttemptEnded{o.id, o.attempt, o.outcome, o.duration, request.ended});
     }
     void leave(RequestId id) {
         OpenRequest& request = requests_.at(id);
         if (request.ended) return;
         request.ended = true;
-        give(ClientGone{id});
+        give(ClientDisconnected{id});
     }
 
     void change_list() {
-        std::vector<ServerInfo> changed;
+        std::vector<Endpoint> changed;
         for (std::uint64_t left = 1 + draw_.below(4); left > 0; --left) changed.push_back(change_server());
         const bool incremental = draw_.chance(0.7);
         at(draw_.between(300, 9000), {Kind::list_changes});
-        give(ServerList{incremental ? ListKind::incremental : ListKind::full,
-                        incremental ? changed : listed()});
+        give(EndpointUpdate{incremental ? EndpointUpdateKind::incremental : EndpointUpdateKind::full,
+                            incremental ? changed : listed()});
     }
-    ServerInfo change_server() {
+    Endpoint change_server() {
         if (servers_.empty() || draw_.chance(0.2)) {
-            const ServerId id = static_cast<ServerId>(1000 + draw_.below(60));
+            const EndpointId id = static_cast<EndpointId>(1000 + draw_.below(60));
             add_server(id);
             return servers_[id];
         }
         auto at = servers_.begin();
         std::advance(at, static_cast<std::ptrdiff_t>(draw_.below(servers_.size())));
-        ServerInfo& server = at->second;
-        server.phase = draw_.one_of({Phase::on, Phase::on, Phase::fading, Phase::off});
-        if (draw_.chance(0.4)) server.online_since = now_;
+        Endpoint& server = at->second;
+        server.state = draw_.one_of(
+            {EndpointState::serving, EndpointState::serving, EndpointState::draining, EndpointState::gone});
+        if (draw_.chance(0.4)) server.started_at = now_;
         health_[server.id] = draw_health();
-        const ServerInfo changed = server;
-        if (server.phase == Phase::off) servers_.erase(at);
+        const Endpoint changed = server;
+        if (server.state == EndpointState::gone) servers_.erase(at);
         return changed;
     }
 
     void receive_from_peer() {
-        PeerMessage message;
+        GossipReceived message;
         message.from = static_cast<std::uint32_t>(draw_.below(900));
         const std::uint64_t length = draw_.one_of<std::uint64_t>({1, 1, 4, 4, 4, 0, 7});
         for (std::uint64_t i = 0; i < length; ++i)
@@ -354,27 +357,27 @@
         const std::size_t classes = settings_.classes.size();
         Settings next = draw_settings(draw_);
         while (next.classes.size() < classes) next.classes.push_back(draw_class(draw_));
-        if (draw_.chance(0.2)) next.siblings = 0;  // makes no sense, so it has no effect
-        if (next.siblings > 0) settings_ = next;
+        if (draw_.chance(0.2)) next.sidecar_count = 0;  // makes no sense, so it has no effect
+        if (next.sidecar_count > 0) settings_ = next;
         at(draw_.between(5000, 60000), {Kind::settings_change});
         give(SettingsChanged{std::make_shared<const Settings>(next)});
     }
 
     void receive_fleet_view() {
-        FleetView view;
+        FleetEvidence view;
         for (const auto& [id, server] : servers_) {
             if (draw_.chance(0.7)) continue;
-            FleetEvidence evidence;
-            evidence.server = id;
-            evidence.good = static_cast<std::uint32_t>(draw_.below(60));
-            evidence.bad = static_cast<std::uint32_t>(draw_.below(60));
-            evidence.complaints = static_cast<std::uint32_t>(draw_.below(8));
-            evidence.witnesses = static_cast<std::uint32_t>(draw_.below(evidence.complaints + 1));
-            evidence.closed = static_cast<std::uint32_t>(draw_.below(5));
-            evidence.restored = static_cast<std::uint32_t>(draw_.below(4));
-            evidence.paced = static_cast<std::uint32_t>(draw_.below(6));
-            evidence.pace = draw_.between(0, 1.5);
-            view.servers.push_back(evidence);
+            EndpointEvidence evidence;
+            evidence.endpoint = id;
+            evidence.successes = static_cast<std::uint32_t>(draw_.below(60));
+            evidence.failures = static_cast<std::uint32_t>(draw_.below(60));
+            evidence.reporters = static_cast<std::uint32_t>(draw_.below(8));
+            evidence.direct_reporters = static_cast<std::uint32_t>(draw_.below(evidence.reporters + 1));
+            evidence.withdrawals = static_cast<std::uint32_t>(draw_.below(5));
+            evidence.recoveries = static_cast<std::uint32_t>(draw_.below(4));
+            evidence.latency_reporters = static_cast<std::uint32_t>(draw_.below(6));
+            evidence.latency_ratio = draw_.between(0, 1.5);
+            view.endpoints.push_back(evidence);
         }
         at(draw_.between(200, 3000), {Kind::fleet_view});
         give(view);
@@ -383,51 +386,51 @@
     // What happens to an attempt at a server of that health: how it ends, and after what time.
     std::pair<Outcome, Millis> fate(Health health) {
         const double rare = draw_.unit();
-        if (rare < 0.02) return {Outcome::severed, draw_.between(1, 300)};
-        if (rare < 0.03) return {Outcome::superseded, 0};
+        if (rare < 0.02) return {Outcome::connection_reset, draw_.between(1, 300)};
+        if (rare < 0.03) return {Outcome::not_sent, 0};
         switch (health) {
             case Health::slow:
-                return {Outcome::completed, draw_.between(300, 2500)};
+                return {Outcome::success, draw_.between(300, 2500)};
             case Health::failing:
-                return {draw_.chance(0.8) ? Outcome::errored : Outcome::completed, draw_.between(1, 40)};
+                return {draw_.chance(0.8) ? Outcome::server_error : Outcome::success, draw_.between(1, 40)};
             case Health::unreachable:
-                return {Outcome::refused_connection, draw_.between(0, 200)};
+                return {Outcome::connect_failure, draw_.between(0, 200)};
             case Health::full:
-                return {draw_.chance(0.6) ? Outcome::saturated : Outcome::completed, draw_.between(1, 400)};
+                return {draw_.chance(0.6) ? Outcome::overloaded : Outcome::success, draw_.between(1, 400)};
             case Health::sound:
                 break;
         }
-        return {Outcome::completed, draw_.between(5, 250)};
+        return {Outcome::success, draw_.between(5, 250)};
     }
 
-    void carry_out(const Send& send) {
+    void carry_out(const SendAttempt& send) {
         OpenRequest& request = requests_.at(send.id);
         const auto attempt = static_cast<std::uint32_t>(request.in_flight.size());
         request.in_flight.push_back(true);
-        auto [outcome, duration] = fate(health_[send.server]);
-        if (now_ + duration > send.try_until)
-            outcome = Outcome::overdue, duration = std::max(0.0, send.try_until - now_);
-        if (outcome == Outcome::completed && draw_.chance(0.1))
+        auto [outcome, duration] = fate(health_[send.endpoint]);
+        if (now_ + duration > send.give_up_at)
+            outcome = Outcome::timeout, duration = std::max(0.0, send.give_up_at - now_);
+        if (outcome == Outcome::success && draw_.chance(0.1))
             at(duration / 2, {Kind::first_byte, send.id, attempt});
         at(duration, {Kind::attempt_end, send.id, attempt, outcome, duration});
     }
-    void carry_out(const Cancel& cancel) {
-        at(0, {Kind::attempt_end, cancel.id, cancel.attempt, Outcome::recalled, 1});
+    void carry_out(const CancelAttempt& cancel) {
+        at(0, {Kind::attempt_end, cancel.id, cancel.attempt, Outcome::cancelled, 1});
     }
-    void carry_out(const Refuse& rejected) { requests_.at(rejected.id).ended = true; }
-    void carry_out(const GiveUp& failed) { requests_.at(failed.id).ended = true; }
+    void carry_out(const RejectRequest& rejected) { requests_.at(rejected.id).ended = true; }
+    void carry_out(const FailRequest& failed) { requests_.at(failed.id).ended = true; }
     void carry_out(const SetTimer& timer) { at(std::max(0.0, timer.at - now_), {Kind::timer, timer.token}); }
-    void carry_out(const Probe& probe) {
-        const bool answers = health_[probe.server] == Health::sound || draw_.chance(0.4);
+    void carry_out(const SendProbe& probe) {
+        const bool answers = health_[probe.endpoint] == Health::sound || draw_.chance(0.4);
         at(draw_.between(1, 60),
-           {Kind::probe_end, probe.server, 0, answers ? Outcome::completed : Outcome::overdue, 5});
+           {Kind::probe_end, probe.endpoint, 0, answers ? Outcome::success : Outcome::timeout, 5});
     }
-    void carry_out(const Subscribe&) { at(draw_.between(5, 400), {Kind::list_answer}); }
-    void carry_out(const CloseIdle&) {}
-    void carry_out(const TellPeer&) {}
-    void carry_out(const FetchList&) {}
-    void carry_out(const Log&) {}
-    void carry_out(const Share&) {}
+    void carry_out(const SubscribeEndpoints&) { at(draw_.between(5, 400), {Kind::list_answer}); }
+    void carry_out(const CloseIdleConnections&) {}
+    void carry_out(const SendGossip&) {}
+    void carry_out(const FetchEndpoints&) {}
+    void carry_out(const LogMessage&) {}
+    void carry_out(const PublishEvidence&) {}
 
     Draw draw_;
     Settings settings_;
@@ -439,8 +442,8 @@
     int handled_ = 0;
     RequestId last_request_ = 0;
     std::map<RequestId, OpenRequest> requests_;
-    std::map<ServerId, ServerInfo> servers_;
-    std::map<ServerId, Health> health_;
+    std::map<EndpointId, Endpoint> servers_;
+    std::map<EndpointId, Health> health_;
     std::map<std::size_t, std::uint64_t> action_counts_;
 };
 
@@ -471,7 +474,7 @@
     }
     for (const auto& [kind, count] : counts)
         RecordProperty("actions_" + std::to_string(kind), std::to_string(count));
-    // All but FetchList, which the present decisions don't use.
+    // All but FetchEndpoints, which the present decisions don't use.
     EXPECT_EQ(counts.size(), std::variant_size_v<Action> - 1) << "a kind of action was never seen";
 }
 
--- a/tests/balancer/rules_test.cpp
+++ b/tests/balancer/rules_test.cpp
@@ -18,13 +18,13 @@
 };
 
 Settings mixed(bool parallel) {
-    Settings s = make_settings({make_class(Effect::repeatable), make_class(Effect::once),
-                                make_class(Effect::by_key, DedupScope::all, 700),
-                                make_class(Effect::by_key, DedupScope::zone, 700),
-                                make_class(Effect::by_key, DedupScope::cell, 700)});
-    s.parallel_tries = parallel;
-    s.may_probe = s.may_tell = true;
-    s.siblings = 100;
+    Settings s = make_settings({make_class(Idempotency::idempotent), make_class(Idempotency::not_idempotent),
+                                make_class(Idempotency::idempotent_with_key, DedupScope::all, 700),
+                                make_class(Idempotency::idempotent_with_key, DedupScope::zone, 700),
+                                make_class(Idempotency::idempotent_with_key, DedupScope::cell, 700)});
+    s.hedging_allowed = parallel;
+    s.probes_allowed = s.gossip_allowed = true;
+    s.sidecar_count = 100;
     return s;
 }
 
@@ -35,30 +35,32 @@
             if (r.sent[i].out) out.emplace_back(id, i);
     if (out.empty()) return;
     const auto [id, attempt] = out[dice.below(static_cast<std::uint32_t>(out.size()))];
-    static const Outcome outcomes[] = {Outcome::completed, Outcome::completed,          Outcome::completed,
-                                       Outcome::errored,   Outcome::saturated,          Outcome::overdue,
-                                       Outcome::severed,   Outcome::refused_connection, Outcome::superseded};
+    static const Outcome outcomes[] = {
+        Outcome::success,          Outcome::success,         Outcome::success,
+        Outcome::server_error,     Outcome::overloaded,      Outcome::timeout,
+        Outcome::connection_reset, Outcome::connect_failure, Outcome::not_sent};
     const bool closed = rig.closed(rig.requests.at(id));
-    rig.end_attempt(id, attempt, closed ? Outcome::recalled : outcomes[dice.below(9)]);
+    rig.end_attempt(id, attempt, closed ? Outcome::cancelled : outcomes[dice.below(9)]);
 }
 
 void change_list(Rig& rig, Dice& dice) {
-    const ServerId id = 1 + dice.below(10);
-    const Phase phases[] = {Phase::on, Phase::on, Phase::fading, Phase::off};
+    const EndpointId id = 1 + dice.below(10);
+    const EndpointState phases[] = {EndpointState::serving, EndpointState::serving, EndpointState::draining,
+                                    EndpointState::gone};
     const Millis since = dice.below(2) ? rig.now - dice.below(5000) : 0;
     if (dice.below(5)) {
-        rig.list(ListKind::incremental, {{id, id % 3, id % 2, phases[dice.below(4)], since}});
+        rig.list(EndpointUpdateKind::incremental, {{id, id % 3, id % 2, phases[dice.below(4)], since}});
     } else {
-        std::vector<ServerInfo> infos;
-        for (ServerId s = 1; s <= 10; ++s)
-            if (dice.below(3)) infos.push_back({s, s % 3, s % 2, Phase::on, 0});
-        rig.list(dice.below(4) ? ListKind::full : ListKind::failed, infos);
+        std::vector<Endpoint> infos;
+        for (EndpointId s = 1; s <= 10; ++s)
+            if (dice.below(3)) infos.push_back({s, s % 3, s % 2, EndpointState::serving, 0});
+        rig.list(dice.below(4) ? EndpointUpdateKind::full : EndpointUpdateKind::failed, infos);
     }
 }
 
 void random_life(Rig& rig, Dice& dice, int steps) {
     rig.give(Started{});
-    rig.list(ListKind::saved, make_servers(6));
+    rig.list(EndpointUpdateKind::cached, make_servers(6));
     for (int i = 0; i < steps; ++i) {
         const std::uint32_t what = dice.below(100);
         if (what < 45) {
@@ -72,13 +74,13 @@
             std::advance(at, dice.below(static_cast<std::uint32_t>(rig.requests.size())));
             if (!rig.closed(at->second)) {
                 at->second.gone = true;
-                rig.give(ClientGone{at->first});
+                rig.give(ClientDisconnected{at->first});
             }
         } else if (what < 92) {  // probes and peers may say anything
-            const Outcome said[] = {Outcome::completed, Outcome::overdue, Outcome::saturated};
-            for (ServerId s = 1; s <= 10; ++s)
+            const Outcome said[] = {Outcome::success, Outcome::timeout, Outcome::overloaded};
+            for (EndpointId s = 1; s <= 10; ++s)
                 if (dice.below(2)) rig.give(ProbeEnded{s, said[dice.below(3)], Millis(dice.below(100))});
-            rig.give(PeerMessage{dice.below(200), {0, 0, 0, std::uint8_t(dice.below(14))}});
+            rig.give(GossipReceived{dice.below(200), {0, 0, 0, std::uint8_t(dice.below(14))}});
         } else {
             rig.pass(dice.below(what == 99 ? 4000 : 60));
         }
@@ -105,11 +107,11 @@
         std::swap(s.classes[i - 1], s.classes[dice.below(static_cast<std::uint32_t>(i))]);
     s.classes.resize(1 + dice.below(static_cast<std::uint32_t>(s.classes.size())));
     s.max_attempts = 1 + dice.below(5);
-    s.may_cancel = dice.below(2);
-    s.may_probe = dice.below(2);
-    s.siblings = 1 + dice.below(100);
-    s.my_number = dice.below(100);
-    if (dice.below(2)) s.my_zone = dice.below(3);
+    s.cancel_allowed = dice.below(2);
+    s.probes_allowed = dice.below(2);
+    s.sidecar_count = 1 + dice.below(100);
+    s.sidecar_index = dice.below(100);
+    if (dice.below(2)) s.local_zone = dice.below(3);
     s.fees.cross_zone = dice.below(2) * 0.1;
     return s;
 }
@@ -132,74 +134,74 @@
 
 TEST(Recall, ARemovalGoesOnInTheNextLife) {
     Rig rig(mixed(false), 4);
-    rig.list(ListKind::full, make_servers(4));
+    rig.list(EndpointUpdateKind::full, make_servers(4));
     for (int i = 0; i < 200; ++i) {
         const RequestId id = rig.request(0);
-        while (rig.out(id)) rig.end(id, rig.where(id) == 1 ? Outcome::errored : Outcome::completed, 5);
+        while (rig.out(id)) rig.end(id, rig.where(id) == 1 ? Outcome::server_error : Outcome::success, 5);
     }
-    std::vector<Learnt> learnt = rig.balancer.learnt();
-    ASSERT_EQ(learnt.at(0).server, 1U);
-    EXPECT_GT(learnt[0].removed_for, 0);
-    EXPECT_LE(learnt[0].removed_for, 10000);
-    learnt[0].removed_for = 1e9;  // whatever the disk says: no longer than a backoff
+    std::vector<EndpointSnapshot> learnt = rig.balancer.snapshot();
+    ASSERT_EQ(learnt.at(0).endpoint, 1U);
+    EXPECT_GT(learnt[0].ejected_for, 0);
+    EXPECT_LE(learnt[0].ejected_for, 10000);
+    learnt[0].ejected_for = 1e9;  // whatever the disk says: no longer than a backoff
     Rig next(mixed(false), 5);
-    next.list(ListKind::saved, make_servers(4));
-    next.give(Recalled{learnt});
+    next.list(EndpointUpdateKind::cached, make_servers(4));
+    next.give(StateRestored{learnt});
     for (int i = 0; i < 100; ++i) {
         const RequestId id = next.request(0);
         EXPECT_NE(next.where(id), 1U);
-        next.end(id, Outcome::completed, 5);
+        next.end(id, Outcome::success, 5);
     }
     next.pass(10000);
     const RequestId trial = next.request(0);
     EXPECT_EQ(next.where(trial), 1U) << "and a trial brings it back";
-    next.end(trial, Outcome::completed, 5);
-    EXPECT_EQ(next.balancer.held().removed, 0U);
-    next.give(Recalled{learnt});
-    EXPECT_EQ(next.balancer.held().removed, 1U) << "fresh as it is, it may be told of again";
-    next.give(Recalled{{{2, 5000, 0}, {77, 5000, 0}}});
-    EXPECT_EQ(next.balancer.held().removed, 1U) << "what this life has seen goes before";
+    next.end(trial, Outcome::success, 5);
+    EXPECT_EQ(next.balancer.usage().ejected, 0U);
+    next.give(StateRestored{learnt});
+    EXPECT_EQ(next.balancer.usage().ejected, 1U) << "fresh as it is, it may be told of again";
+    next.give(StateRestored{{{2, 5000, 0}, {77, 5000, 0}}});
+    EXPECT_EQ(next.balancer.usage().ejected, 1U) << "what this life has seen goes before";
 }
 
 TEST(Recall, CanNotEmptyThePool) {
     Rig rig(mixed(false), 4);
-    rig.list(ListKind::saved, make_servers(6));
-    std::vector<Learnt> all;
-    for (ServerId s = 1; s <= 6; ++s) all.push_back({s, 9000, -3});
-    rig.give(Recalled{all});
-    EXPECT_EQ(rig.balancer.held().removed, 3U);
+    rig.list(EndpointUpdateKind::cached, make_servers(6));
+    std::vector<EndpointSnapshot> all;
+    for (EndpointId s = 1; s <= 6; ++s) all.push_back({s, 9000, -3});
+    rig.give(StateRestored{all});
+    EXPECT_EQ(rig.balancer.usage().ejected, 3U);
     EXPECT_TRUE(rig.out(rig.request(0)));
 }
 
 TEST(Change, WhatWasLearntAboutServersStays) {
     Rig rig(mixed(false), 4);
-    rig.list(ListKind::full, make_servers(4));
+    rig.list(EndpointUpdateKind::full, make_servers(4));
     for (int i = 0; i < 200; ++i) {
         const RequestId id = rig.request(0);
-        while (rig.out(id)) rig.end(id, rig.where(id) == 1 ? Outcome::errored : Outcome::completed, 5);
+        while (rig.out(id)) rig.end(id, rig.where(id) == 1 ? Outcome::server_error : Outcome::success, 5);
     }
-    ASSERT_EQ(rig.balancer.held().removed, 1U);
+    ASSERT_EQ(rig.balancer.usage().ejected, 1U);
     Settings other = mixed(true);
     std::reverse(other.classes.begin(), other.classes.end());
     rig.change(other);
-    EXPECT_EQ(rig.balancer.held().removed, 1U);
+    EXPECT_EQ(rig.balancer.usage().ejected, 1U);
     for (int i = 0; i < 50; ++i) {
         const RequestId id = rig.request(4);
         EXPECT_NE(rig.where(id), 1U) << "it is still out of the pool";
-        rig.end(id, Outcome::completed, 5);
+        rig.end(id, Outcome::success, 5);
     }
 }
 
 TEST(Change, SettingsThatMakeNoSenseHaveNoEffect) {
     Rig rig(mixed(false), 4);
-    rig.list(ListKind::full, make_servers(4));
+    rig.list(EndpointUpdateKind::full, make_servers(4));
     const SettingsPtr good = rig.current;
     Settings bad = mixed(false);
-    bad.classes[0].aim = -1;
+    bad.classes[0].latency_objective = -1;
     rig.give(SettingsChanged{std::make_shared<const Settings>(bad)});
     rig.give(SettingsChanged{});
     const RequestId id = rig.request(0);
-    rig.end(id, Outcome::errored, 5);
+    rig.end(id, Outcome::server_error, 5);
     EXPECT_EQ(rig.sends(id), 2U) << "as before: repeatable, and so sent again";
     EXPECT_EQ(rig.current, good);
 }
@@ -210,13 +212,13 @@
     for (const Millis within : {100.0, 1000.0, 10000.0, 0.0})
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
             Settings settings = mixed(false);
-            settings.list_on_request = true;
-            settings.ask_within = within;
+            settings.polled_discovery = true;
+            settings.poll_interval = within;
             Balancer balancer(settings, seed);
             Millis longest = 0;
             for (int call = 0; call < 10; ++call) {
                 std::vector<Action> actions;
-                balancer.handle(1e6 * call, ServerList{ListKind::failed, {}}, actions);
+                balancer.handle(1e6 * call, EndpointUpdate{EndpointUpdateKind::failed, {}}, actions);
                 ASSERT_EQ(actions.size(), 1u);
                 const Millis pause = std::get<SetTimer>(actions[0]).at - 1e6 * call;
                 EXPECT_GT(pause, 0);
@@ -230,11 +232,11 @@
 TEST(Change, ListsAreAskedForOnceThatIsTheRule) {
     Rig rig(mixed(false), 4);
     Settings asked = mixed(false);
-    asked.list_on_request = true;
+    asked.polled_discovery = true;
     rig.change(asked);
-    EXPECT_EQ(rig.count<Subscribe>(), 1);
+    EXPECT_EQ(rig.count<SubscribeEndpoints>(), 1);
     rig.change(asked);
-    EXPECT_EQ(rig.count<Subscribe>(), 0) << "it is subscribed already";
+    EXPECT_EQ(rig.count<SubscribeEndpoints>(), 0) << "it is subscribed already";
 }
 
 TEST(Rules, SameEventsGiveTheSameActions) {
@@ -243,7 +245,7 @@
         Rig rig(mixed(false), 5);
         Dice dice(5);
         std::string trace;
-        rig.list(ListKind::full, make_servers(6));
+        rig.list(EndpointUpdateKind::full, make_servers(6));
         for (int i = 0; i < 500; ++i) {
             const RequestId id = rig.request(dice.below(5));
             trace += rig.out(id) ? std::to_string(rig.where(id)) + "," : "-,";
@@ -259,30 +261,31 @@
 TEST(Rules, MemoryStaysBoundedOverALongLife) {
     Rig rig(mixed(false), 3);
     Dice dice(3);
-    ServerId fresh = 100;
+    EndpointId fresh = 100;
     for (int round = 0; round < 60; ++round) {
         random_life(rig, dice, 300);
-        rig.list(ListKind::full, {{fresh, 0, 0, Phase::on, 0}, {fresh + 1, 1, 1, Phase::on, 0}});
+        rig.list(EndpointUpdateKind::full,
+                 {{fresh, 0, 0, EndpointState::serving, 0}, {fresh + 1, 1, 1, EndpointState::serving, 0}});
         fresh += 2;
         rig.pass(10000);
     }
     rig.settle();
-    EXPECT_EQ(rig.balancer.held().requests, 0U);
-    EXPECT_LE(rig.balancer.held().servers, 2U);
-    EXPECT_LE(rig.balancer.held().timers, 1U);
+    EXPECT_EQ(rig.balancer.usage().requests, 0U);
+    EXPECT_LE(rig.balancer.usage().endpoints, 2U);
+    EXPECT_LE(rig.balancer.usage().timers, 1U);
 }
 
 // ---- One temptation each --------------------------------------------------------------------------------
 
 Rig three(RequestClass kind, std::uint64_t seed = 1) {
     Rig rig(make_settings({kind}), seed);
-    rig.list(ListKind::full, make_servers(3));
+    rig.list(EndpointUpdateKind::full, make_servers(3));
     return rig;
 }
 
 TEST(Rule2, OnceIsNeverSentAgainNorRefusedAfterAPossibleRun) {
-    for (const Outcome outcome : {Outcome::errored, Outcome::overdue, Outcome::severed}) {
-        Rig rig = three(make_class(Effect::once));
+    for (const Outcome outcome : {Outcome::server_error, Outcome::timeout, Outcome::connection_reset}) {
+        Rig rig = three(make_class(Idempotency::not_idempotent));
         const RequestId id = rig.request();
         rig.end(id, outcome);
         EXPECT_EQ(rig.sends(id), 1U);
@@ -292,16 +295,16 @@
 }
 
 TEST(Rule2, UnknownClassIsTreatedAsOnce) {
-    Rig rig = three(make_class(Effect::repeatable));
+    Rig rig = three(make_class(Idempotency::idempotent));
     const RequestId id = rig.request(9);
-    rig.end(id, Outcome::errored);
+    rig.end(id, Outcome::server_error);
     EXPECT_EQ(rig.sends(id), 1U);
     EXPECT_FALSE(rig.requests.at(id).refused);
 }
 
 TEST(Rule2, RepeatableIsSentAgainAfterAnything) {
-    for (const Outcome outcome : {Outcome::errored, Outcome::severed, Outcome::saturated}) {
-        Rig rig = three(make_class(Effect::repeatable));
+    for (const Outcome outcome : {Outcome::server_error, Outcome::connection_reset, Outcome::overloaded}) {
+        Rig rig = three(make_class(Idempotency::idempotent));
         const RequestId id = rig.request();
         rig.end(id, outcome);
         EXPECT_EQ(rig.sends(id), 2U);
@@ -309,18 +312,18 @@
 }
 
 TEST(Rule2, ByKeyStaysInItsZoneAndWindow) {
-    Rig rig(make_settings({make_class(Effect::by_key, DedupScope::zone, 300)}));
-    rig.list(ListKind::full, make_servers(9));
+    Rig rig(make_settings({make_class(Idempotency::idempotent_with_key, DedupScope::zone, 300)}));
+    rig.list(EndpointUpdateKind::full, make_servers(9));
     for (int i = 0; i < 30; ++i) {
         const RequestId id = rig.request();
-        const ServerId first = rig.where(id);
-        rig.end(id, i % 2 ? Outcome::errored : Outcome::severed, i % 3 ? 10 : 400);
+        const EndpointId first = rig.where(id);
+        rig.end(id, i % 2 ? Outcome::server_error : Outcome::connection_reset, i % 3 ? 10 : 400);
         if (i % 3) {
             EXPECT_EQ(rig.where(id) % 3, first % 3);
         } else {
             EXPECT_EQ(rig.sends(id), 1U) << "the window has passed";
         }
-        while (rig.out(id)) rig.end(id, Outcome::completed, 1);
+        while (rig.out(id)) rig.end(id, Outcome::success, 1);
     }
 }
 
@@ -328,39 +331,39 @@
 TEST(Rule2, ByKeyIsNotRepeatedInTheLastMomentOfItsWindow) {
     constexpr Millis kWindow = 2000, kHeldUp = 150;
     for (const Millis before_the_end : {kHeldUp - 10, kHeldUp + 10}) {
-        Rig rig(make_settings({make_class(Effect::by_key, DedupScope::all, kWindow)}));
-        rig.list(ListKind::full, make_servers(9));
+        Rig rig(make_settings({make_class(Idempotency::idempotent_with_key, DedupScope::all, kWindow)}));
+        rig.list(EndpointUpdateKind::full, make_servers(9));
         const RequestId id = rig.request(0, 2 * kWindow);
-        rig.end(id, Outcome::errored, kWindow - before_the_end);
+        rig.end(id, Outcome::server_error, kWindow - before_the_end);
         EXPECT_EQ(rig.sends(id), before_the_end > kHeldUp ? 2U : 1U);
-        while (rig.out(id)) rig.end(id, Outcome::completed, 1);
+        while (rig.out(id)) rig.end(id, Outcome::success, 1);
     }
 }
 
 TEST(Rule2, ByKeyZoneIsNotRefusedAfterAPossibleRunButByKeyAllIs) {
     for (const DedupScope scope : {DedupScope::zone, DedupScope::all}) {
-        Rig rig(make_settings({make_class(Effect::by_key, scope)}));
-        rig.list(ListKind::full, make_servers(1));
+        Rig rig(make_settings({make_class(Idempotency::idempotent_with_key, scope)}));
+        rig.list(EndpointUpdateKind::full, make_servers(1));
         const RequestId id = rig.request(0, 300);
-        rig.end(id, Outcome::errored, 10);
-        while (rig.out(id)) rig.end(id, Outcome::errored, 10);
+        rig.end(id, Outcome::server_error, 10);
+        while (rig.out(id)) rig.end(id, Outcome::server_error, 10);
         rig.settle();
         EXPECT_EQ(rig.requests.at(id).refused, scope == DedupScope::all);
     }
 }
 
 TEST(Rule3, NothingIsSentToADrainingServer) {
-    Rig rig = three(make_class(Effect::repeatable));
-    rig.list(ListKind::incremental, {{1, 0, 0, Phase::fading, 0}});
+    Rig rig = three(make_class(Idempotency::idempotent));
+    rig.list(EndpointUpdateKind::incremental, {{1, 0, 0, EndpointState::draining, 0}});
     for (int i = 0; i < 50; ++i) {
         const RequestId id = rig.request();
         EXPECT_NE(rig.where(id), 1U);
-        rig.end(id, Outcome::completed);
+        rig.end(id, Outcome::success);
     }
 }
 
 TEST(Rule1, AHeldRequestIsAnsweredInTime) {
-    Rig rig(make_settings({make_class(Effect::once)}));
+    Rig rig(make_settings({make_class(Idempotency::not_idempotent)}));
     const RequestId id = rig.request(0, 50);
     EXPECT_EQ(rig.requests.at(id).answers, 0);
     rig.settle();
--- a/tests/balancer/shared_evidence_test.cpp
+++ b/tests/balancer/shared_evidence_test.cpp
@@ -4,64 +4,64 @@
 namespace ochregrade::test {
 namespace {
 
-constexpr ServerId kServers = 40;
+constexpr EndpointId kServers = 40;
 
 Settings sharing(bool share = true) {
     Settings s = make_settings();
-    s.may_tell = true, s.share = share;
-    s.siblings = 60, s.my_number = 7;
+    s.gossip_allowed = true, s.evidence_shared = share;
+    s.sidecar_count = 60, s.sidecar_index = 7;
     return s;
 }
 
 struct Sharing : Rig {
     explicit Sharing(bool share = true) : Rig(sharing(share)) {
-        list(ListKind::full, make_servers(kServers));
+        list(EndpointUpdateKind::full, make_servers(kServers));
     }
-    void hear(std::vector<FleetEvidence> servers) { give(FleetView{std::move(servers)}); }
-    void hear(ServerId server, std::uint32_t witnesses, std::uint32_t bad = 9, std::uint32_t good = 0) {
+    void hear(std::vector<EndpointEvidence> servers) { give(FleetEvidence{std::move(servers)}); }
+    void hear(EndpointId server, std::uint32_t witnesses, std::uint32_t bad = 9, std::uint32_t good = 0) {
         hear({{server, good, bad, witnesses, witnesses, 0, 0, 0, 0}});
     }
-    std::optional<Share> shared() const {
+    std::optional<PublishEvidence> shared() const {
         for (const Action& a : last)
-            if (const auto* s = std::get_if<Share>(&a)) return *s;
+            if (const auto* s = std::get_if<PublishEvidence>(&a)) return *s;
         return {};
     }
-    std::size_t removed() const { return balancer.held().removed; }
+    std::size_t removed() const { return balancer.usage().ejected; }
     // Serves or fails requests until one goes to `server`.
-    bool meet(ServerId server, Outcome outcome, int requests = 400) {
+    bool meet(EndpointId server, Outcome outcome, int requests = 400) {
         for (int i = 0; i < requests; ++i) {
             pass(20);
             const RequestId id = request();
             if (!out(id)) continue;
             const bool met = where(id) == server;
-            end(id, met ? outcome : Outcome::completed, 10);
+            end(id, met ? outcome : Outcome::success, 10);
             if (met) return true;
         }
         return false;
     }
-    ServerId used() {
+    EndpointId used() {
         const RequestId id = request();
-        const ServerId server = where(id);
-        end(id, Outcome::completed, 10);
+        const EndpointId server = where(id);
+        end(id, Outcome::success, 10);
         return server;
     }
 };
 
 TEST(Shared, AFailureIsSharedWithWhatWentWellOfLate) {
     Sharing rig;
-    const ServerId server = rig.used();
-    ASSERT_TRUE(rig.meet(server, Outcome::completed));
+    const EndpointId server = rig.used();
+    ASSERT_TRUE(rig.meet(server, Outcome::success));
     EXPECT_FALSE(rig.shared()) << "success alone is no news";
-    ASSERT_TRUE(rig.meet(server, Outcome::severed));
+    ASSERT_TRUE(rig.meet(server, Outcome::connection_reset));
     const auto share = rig.shared();
     ASSERT_TRUE(share);
-    EXPECT_EQ(share->server, server);
-    EXPECT_NEAR(share->bad, 1, 0.01);
-    EXPECT_GT(share->good, 0);
-    EXPECT_FALSE(share->removed);
-    EXPECT_EQ(rig.count<TellPeer>(), 0) << "the note of four bytes is what this replaces";
+    EXPECT_EQ(share->endpoint, server);
+    EXPECT_NEAR(share->failures, 1, 0.01);
+    EXPECT_GT(share->successes, 0);
+    EXPECT_FALSE(share->ejected);
+    EXPECT_EQ(rig.count<SendGossip>(), 0) << "the note of four bytes is what this replaces";
     Sharing alone(false);
-    ASSERT_TRUE(alone.meet(alone.used(), Outcome::severed));
+    ASSERT_TRUE(alone.meet(alone.used(), Outcome::connection_reset));
     EXPECT_FALSE(alone.shared());
 }
 
@@ -79,8 +79,8 @@
 
 TEST(Shared, HearsayRemovesATenthOfTheListAtMost) {
     Sharing rig;
-    std::vector<FleetEvidence> lies;
-    for (ServerId id = 1; id <= kServers; ++id) lies.push_back({id, 0, 200, 50, 50, 0, 0, 0, 0});
+    std::vector<EndpointEvidence> lies;
+    for (EndpointId id = 1; id <= kServers; ++id) lies.push_back({id, 0, 200, 50, 50, 0, 0, 0, 0});
     for (int i = 0; i < 100; ++i) {
         rig.hear(lies);
         rig.pass(100);
@@ -92,55 +92,55 @@
 
 TEST(Shared, OwnFreshSuccessesGoBeforeHearsay) {
     Sharing rig;
-    const ServerId server = rig.used();
+    const EndpointId server = rig.used();
     rig.hear(server, 1);
-    for (int i = 0; i < 4; ++i) ASSERT_TRUE(rig.meet(server, Outcome::completed));
+    for (int i = 0; i < 4; ++i) ASSERT_TRUE(rig.meet(server, Outcome::success));
     rig.hear(server, 8, 40);
     EXPECT_EQ(rig.removed(), 0U);
     // What went well before anybody complained contradicts nothing.
     Sharing before;
-    const ServerId other = before.used();
-    for (int i = 0; i < 4; ++i) ASSERT_TRUE(before.meet(other, Outcome::completed));
+    const EndpointId other = before.used();
+    for (int i = 0; i < 4; ++i) ASSERT_TRUE(before.meet(other, Outcome::success));
     before.hear(other, 8, 40);
     EXPECT_EQ(before.removed(), 1U);
 }
 
 TEST(Shared, WhoSeesItWorkSaysSo) {
     Sharing rig;
-    const ServerId server = rig.used();
+    const EndpointId server = rig.used();
     rig.hear(server, 1);
     bool said = false;
     for (int i = 0; i < 4 && !said; ++i) {
-        ASSERT_TRUE(rig.meet(server, Outcome::completed));
+        ASSERT_TRUE(rig.meet(server, Outcome::success));
         said = rig.shared().has_value();
     }
     EXPECT_TRUE(said);
-    EXPECT_EQ(rig.shared()->bad, 0);
+    EXPECT_EQ(rig.shared()->failures, 0);
 }
 
 TEST(Shared, AfterTheBackoffATrialBringsItBackAndIsShared) {
     Sharing rig;
-    const ServerId server = rig.used();
+    const EndpointId server = rig.used();
     rig.hear(server, 5);
     ASSERT_EQ(rig.removed(), 1U);
-    EXPECT_FALSE(rig.meet(server, Outcome::completed, 300)) << "not within its 10 s";
+    EXPECT_FALSE(rig.meet(server, Outcome::success, 300)) << "not within its 10 s";
     rig.pass(2000);
-    rig.hear(std::vector<FleetEvidence>{});
-    ASSERT_TRUE(rig.meet(server, Outcome::completed));
+    rig.hear(std::vector<EndpointEvidence>{});
+    ASSERT_TRUE(rig.meet(server, Outcome::success));
     EXPECT_EQ(rig.removed(), 0U);
     ASSERT_TRUE(rig.shared());
-    EXPECT_TRUE(rig.shared()->restored);
+    EXPECT_TRUE(rig.shared()->recovered);
 }
 
 TEST(Shared, AnothersSuccessBringsTheTrialForward) {
     Sharing rig;
-    const ServerId server = rig.used();
+    const EndpointId server = rig.used();
     rig.hear(server, 5);
     ASSERT_EQ(rig.removed(), 1U);
     rig.hear({{server, 5, 9, 5, 5, 0, /*restored=*/1, 0, 0}});
     EXPECT_EQ(rig.removed(), 1U) << "a trial of its own is still to come";
     rig.pass(2000);
-    EXPECT_TRUE(rig.meet(server, Outcome::completed, 200));
+    EXPECT_TRUE(rig.meet(server, Outcome::success, 200));
 }
 
 TEST(Shared, AnotherProcessUnderTheNameIsNotBlamed) {
@@ -148,25 +148,25 @@
     rig.hear(5, 5);
     ASSERT_EQ(rig.removed(), 1U);
     auto again = make_servers(kServers);
-    again[4].online_since = rig.now;
-    rig.list(ListKind::full, again);
+    again[4].started_at = rig.now;
+    rig.list(EndpointUpdateKind::full, again);
     EXPECT_EQ(rig.removed(), 0U);
 }
 
 TEST(Shared, WhatOthersListsCloseGetsNothingNew) {
     Sharing rig;
-    const ServerId server = rig.used();
+    const EndpointId server = rig.used();
     rig.hear({{server, 0, 0, 0, 0, /*closed=*/2, 0, 0, 0}});
-    EXPECT_TRUE(rig.meet(server, Outcome::completed));
+    EXPECT_TRUE(rig.meet(server, Outcome::success));
     rig.hear({{server, 0, 0, 0, 0, 3, 0, 0, 0}});
-    EXPECT_FALSE(rig.meet(server, Outcome::completed, 200));
-    rig.hear(std::vector<FleetEvidence>{});
-    EXPECT_TRUE(rig.meet(server, Outcome::completed));
+    EXPECT_FALSE(rig.meet(server, Outcome::success, 200));
+    rig.hear(std::vector<EndpointEvidence>{});
+    EXPECT_TRUE(rig.meet(server, Outcome::success));
     // A tenth of the list at most: liars must not close it.
-    std::vector<FleetEvidence> all;
-    for (ServerId id = 1; id <= kServers; ++id) all.push_back({id, 0, 0, 0, 0, 50, 0, 0, 0});
+    std::vector<EndpointEvidence> all;
+    for (EndpointId id = 1; id <= kServers; ++id) all.push_back({id, 0, 0, 0, 0, 50, 0, 0, 0});
     rig.hear(all);
-    std::set<ServerId> met;
+    std::set<EndpointId> met;
     for (int i = 0; i < 2000; ++i) rig.pass(20), met.insert(rig.used());
     EXPECT_GE(met.size(), 5U);
 }
@@ -174,8 +174,8 @@
 TEST(Shared, TurnedOffNothingOfItIsHeeded) {
     Sharing rig;
     rig.change(sharing(false));
-    const ServerId server = rig.used();
-    ASSERT_TRUE(rig.meet(server, Outcome::severed));
+    const EndpointId server = rig.used();
+    ASSERT_TRUE(rig.meet(server, Outcome::connection_reset));
     EXPECT_FALSE(rig.shared());
 }
 
--- a/tests/control/config_test.cpp
+++ b/tests/control/config_test.cpp
@@ -10,8 +10,8 @@
 namespace ochregrade::sidecar {
 namespace {
 
-using Source = Generations::Source;
-using State = Generations::State;
+using Source = ConfigVersions::Source;
+using State = ConfigVersions::State;
 
 json everything() {
     json config = a_config("127.0.0.1:1", {host("s1", "127.0.0.1:2")});
@@ -33,7 +33,7 @@
     try {
         read();
     } catch (const ConfigError& error) {
-        for (const Complaint& c : error.complaints) all.push_back(c.field + " " + c.what);
+        for (const ValidationError& c : error.errors) all.push_back(c.field + " " + c.what);
     }
     return all;
 }
@@ -56,7 +56,7 @@
 TEST(FormerSection, IsReadAsThePresentOne) {
     const std::string text = under_former_name(everything()).dump();
     const Config config = read_config(parse_config(text, "the file"));
-    EXPECT_EQ(config.trial.bake, 5000);
+    EXPECT_EQ(config.canary.duration, 5000);
     EXPECT_EQ(config.document, read_config(everything()).document);
 }
 
@@ -157,7 +157,7 @@
     config["admin"] = "127.0.0.1:80";
     config["trial"] = 7;
     config["state"] = json::array();
-    EXPECT_FALSE(read_config(config).admin);
+    EXPECT_FALSE(read_config(config).operator_endpoint);
 }
 
 // Whatever stands in a file, reading it ends with a configuration or with complaints.
@@ -185,8 +185,8 @@
             read_candidate(parse_config(text, "the file"), running, roll(2) == 0);
         } catch (const ConfigError& error) {
             ++refused;
-            ASSERT_FALSE(error.complaints.empty());
-            for (const Complaint& c : error.complaints) EXPECT_FALSE(c.field.empty());
+            ASSERT_FALSE(error.errors.empty());
+            for (const ValidationError& c : error.errors) EXPECT_FALSE(c.field.empty());
         }
     }
     EXPECT_GT(refused, 2000);
@@ -220,8 +220,8 @@
     ::setenv("NODE_DISCOVERY", "127.0.0.1:77", 1);
     const Config running = read_config(start_document());
     EXPECT_EQ(running.name, "n9");
-    EXPECT_EQ(running.discovery.port(), 77);
-    EXPECT_EQ(read_candidate(reload_document(), running, false).discovery.port(), 1);
+    EXPECT_EQ(running.discovery_address.port(), 77);
+    EXPECT_EQ(read_candidate(reload_document(), running, false).discovery_address.port(), 1);
     config["name"] = "n10";
     file.write(config.dump());
     EXPECT_EQ(read_candidate(reload_document(), running, false).name, "n9") << "the variable still says so";
@@ -231,35 +231,37 @@
               (std::vector<std::string>{"name can't change while the program runs"}));
 }
 
-// ---- Generations ----------------------------------------------------------------------------------------
+// ---- ConfigVersions
+// ----------------------------------------------------------------------------------------
 
 struct Life {
-    Generations generations;
+    ConfigVersions generations;
     Millis now = 1e6;
     Life() { commit(Source::start); }
-    std::uint64_t commit(Source source, std::uint64_t content = 0, TrialRule rule = {}) {
-        auto snapshot = std::make_shared<Snapshot>();
-        snapshot->generation = generations.next();
+    std::uint64_t commit(Source source, std::uint64_t content = 0, CanaryRule rule = {}) {
+        auto snapshot = std::make_shared<ConfigSnapshot>();
+        snapshot->version = generations.next_version();
         snapshot->config.longest_deadline = 1000;
-        generations.committed(snapshot, source, content, rule, now);
-        return snapshot->generation;
+        generations.commit(snapshot, source, content, rule, now);
+        return snapshot->version;
     }
     void answers(int served, int lost, std::uint64_t generation = 0) {
         for (int i = 0; i < served + lost; ++i)
-            generations.answered(generation ? generation : generations.current().number(), i < served, now);
+            generations.record_answer(generation ? generation : generations.current().number(), i < served,
+                                      now);
     }
     State state(std::uint64_t generation) { return generations.find(generation)->state; }
 };
-const TrialRule kTrial{5000, 0.05, 20};
+const CanaryRule kTrial{5000, 0.05, 20};
 
 TEST(Trial, OneThatServesAsWellIsGood) {
     Life life;
     life.answers(90, 10);
     const auto next = life.commit(Source::operators, 0, kTrial);
-    EXPECT_EQ(life.state(next), State::on_trial);
+    EXPECT_EQ(life.state(next), State::canary);
     life.answers(88, 12);
     EXPECT_FALSE(life.generations.due(life.now + 4999));
-    EXPECT_EQ(life.state(next), State::on_trial) << "not before its time is over";
+    EXPECT_EQ(life.state(next), State::canary) << "not before its time is over";
     EXPECT_FALSE(life.generations.due(life.now + 5000));
     EXPECT_EQ(life.state(next), State::good);
 }
@@ -275,10 +277,10 @@
     ASSERT_TRUE(back);
     EXPECT_EQ(back->to->number(), 1u);
     EXPECT_TRUE(life.generations.due(life.now)) << "it says so until it is carried out";
-    const auto third = life.commit(Source::trial, back->to->content);
-    EXPECT_EQ(life.state(next), State::taken_back);
+    const auto third = life.commit(Source::canary, back->to->content_version);
+    EXPECT_EQ(life.state(next), State::rolled_back);
     EXPECT_EQ(life.state(third), State::good);
-    EXPECT_EQ(life.generations.current().content, 1u);
+    EXPECT_EQ(life.generations.current().content_version, 1u);
     EXPECT_FALSE(life.generations.due(life.now + 1e6));
 }
 
@@ -314,7 +316,7 @@
     const auto next = life.commit(Source::file, 0, {10, 0.05, 20});
     life.answers(50, 0);
     EXPECT_FALSE(life.generations.due(life.now + 999));
-    EXPECT_EQ(life.state(next), State::on_trial);
+    EXPECT_EQ(life.state(next), State::canary);
 }
 
 TEST(Trial, AnotherGenerationDuringItLeavesTheLastGoodOneToFallBackTo) {
@@ -323,7 +325,7 @@
     const auto second = life.commit(Source::operators, 0, kTrial);
     const auto third = life.commit(Source::file, 0, kTrial);
     EXPECT_EQ(life.state(second), State::superseded);
-    EXPECT_EQ(life.generations.trial()->fallback, 1u);
+    EXPECT_EQ(life.generations.canary()->fallback, 1u);
     life.answers(0, 20, third);
     EXPECT_EQ(life.generations.due(life.now)->to->number(), 1u);
 }
@@ -334,7 +336,7 @@
     ASSERT_EQ(life.generations.previous()->number(), 1u);
     life.commit(Source::rollback, 1, kTrial);
     EXPECT_EQ(life.state(second), State::withdrawn);
-    EXPECT_FALSE(life.generations.trial()) << "what was good once needs no second trial";
+    EXPECT_FALSE(life.generations.canary()) << "what was good once needs no second trial";
 }
 
 TEST(Rollback, TwiceGoesTwoBackAndNoFurtherThanThereIs) {
@@ -361,9 +363,9 @@
 TEST(Generations, TheLastOnesAreKeptAndTheFallbackOfATrialAmongThem) {
     Life life;
     for (int i = 0; i < 20; ++i) life.commit(Source::operators, 0, kTrial);
-    EXPECT_EQ(life.generations.kept().size(), Generations::kKept);
+    EXPECT_EQ(life.generations.retained().size(), ConfigVersions::kMaxRetained);
     ASSERT_NE(life.generations.find(1), nullptr) << "none after it was ever found good";
-    EXPECT_EQ(life.generations.trial()->fallback, 1u);
+    EXPECT_EQ(life.generations.canary()->fallback, 1u);
     EXPECT_EQ(life.generations.find(5), nullptr);
 }
 
