--- a/tests/process/reload_test.cpp
+++ b/tests/process/reload_test.cpp
@@ -37,7 +37,7 @@
         (all += ' ') += std::to_string(ask(sidecar.at, grade));
     const auto limits = sidecar.in_loop([&] {
         const Node& node = sidecar.node();
-        return std::to_string(node.discovery().seq()) + "/" + std::to_string(node.held().servers);
+        return std::to_string(node.discovery().seq()) + "/" + std::to_string(node.usage().endpoints);
     });
     return all + " " + limits;
 }
@@ -203,7 +203,7 @@
     EXPECT_EQ(wrong, 0);
     for (const auto& [id, n] : runs) EXPECT_EQ(n, 1) << id;
     EXPECT_EQ(static_cast<int>(runs.size()), asked);
-    EXPECT_TRUE(until([&] { return sidecar.held().requests == 0; }));
+    EXPECT_TRUE(until([&] { return sidecar.usage().requests == 0; }));
     EXPECT_EQ(ops.get("/v1/config").at("generation"), 1 + changes);
 }
 
@@ -297,9 +297,9 @@
     int in = 0;
     for (std::uint32_t number = 0; number < 1000; ++number) {
         Config c;
-        c.epoch = 7, c.rollout = 0.1, c.settings.my_number = number;
+        c.epoch = 7, c.rollout_share = 0.1, c.settings.sidecar_index = number;
         in += c.in_rollout();
-        c.rollout = 1;
+        c.rollout_share = 1;
         EXPECT_TRUE(c.in_rollout());
     }
     EXPECT_NEAR(in, 100, 30);
@@ -312,7 +312,7 @@
     Running sidecar(a_config(discovery.at(), {host("s1", first.at())}));
     const auto version = [&] {
         return sidecar.in_loop([&] {
-            const Discovery& d = sidecar.node().discovery();
+            const DiscoveryClient& d = sidecar.node().discovery();
             return std::pair<std::uint64_t, std::uint64_t>(d.incarnation(), d.seq());
         });
     };
@@ -415,11 +415,11 @@
     ASSERT_TRUE(server.wait_for(60));
     config["limits"]["sockets"] = 64;  // 19 for clients, 13 for servers
     ops.post("/v1/config", config);
-    EXPECT_EQ(sidecar.held().connections, 60u) << "what is out stays out";
+    EXPECT_EQ(sidecar.usage().connections, 60u) << "what is out stays out";
     const auto start = steady_clock::now();
     go.set_value();
     for (auto& app : apps) EXPECT_EQ(app->answer().result_int(), 200u);
-    EXPECT_TRUE(until([&] { return sidecar.held().connections <= 13; }));
+    EXPECT_TRUE(until([&] { return sidecar.usage().connections <= 13; }));
     EXPECT_LT(std::chrono::duration<double>(steady_clock::now() - start).count(), 10) << "not by idling";
     EXPECT_TRUE(until([&] { return ops.get("/v1/status").at("connections").at("clients") <= 20; }));
     apps.clear();
@@ -482,7 +482,7 @@
     Operator ops(sidecar.admin);
     const auto tell = [&](std::uint32_t to) {
         sidecar.in_loop([&] {
-            sidecar.node().peers()->tell(to, {1, 2, 3});
+            sidecar.node().peers()->send(to, {1, 2, 3});
             return 0;
         });
     };
--- a/tests/proxy/endings_test.cpp
+++ b/tests/proxy/endings_test.cpp
@@ -31,16 +31,16 @@
         listener.open_for_use();
         turn();
     }
-    static SnapshotPtr snapshot_of(const json& config, std::uint64_t generation) {
-        auto snapshot = std::make_shared<Snapshot>();
-        snapshot->generation = generation;
+    static ConfigSnapshotPtr snapshot_of(const json& config, std::uint64_t generation) {
+        auto snapshot = std::make_shared<ConfigSnapshot>();
+        snapshot->version = generation;
         snapshot->config = read_config(config);
         snapshot->settings = std::make_shared<const Settings>(snapshot->config.settings);
         return snapshot;
     }
     void turn() { io.restart(), io.poll(); }
     void tell(const std::vector<json>& hosts) {
-        sidecar.told(read_hosts(json{{"seq", 6}, {"whole", true}, {"hosts", hosts}}));
+        sidecar.endpoints_received(parse_endpoint_list(json{{"seq", 6}, {"whole", true}, {"hosts", hosts}}));
     }
     template <class Done>
     bool until(Done done) {
@@ -62,7 +62,7 @@
     asio::io_context io{1};
     Clock clock;
     Zones zones;
-    Sidecar sidecar;
+    BalancerDriver sidecar;
     Listener listener;
 };
 
@@ -166,7 +166,7 @@
     const std::string none = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
     const std::string all = first + none + second;
     for (std::size_t size = 0; size <= all.size(); ++size) {
-        const std::vector<Millis> times = times_of_whole_requests(asio::buffer(all.data(), size));
+        const std::vector<Millis> times = deadlines_of_complete_requests(asio::buffer(all.data(), size));
         const std::size_t whole =
             (size >= first.size()) + (size >= first.size() + none.size()) + (size == all.size());
         ASSERT_EQ(times.size(), whole) << size;
@@ -229,11 +229,11 @@
         ASSERT_EQ(house.ask(app, kHealth).result_int(), 200u);
         app.wire.write(App::request("listen"));
         reset ? app.wire.reset() : app.wire.socket.close();
-        const auto left = house.sidecar.totals().left;
-        ASSERT_TRUE(
-            house.until([&] { return house.sidecar.totals().left > left || server.seen().size() > 1; }));
+        const auto left = house.sidecar.totals().client_disconnects;
+        ASSERT_TRUE(house.until(
+            [&] { return house.sidecar.totals().client_disconnects > left || server.seen().size() > 1; }));
     }
-    EXPECT_TRUE(house.until([&] { return house.sidecar.held().attempts == 0; }));
+    EXPECT_TRUE(house.until([&] { return house.sidecar.usage().attempts == 0; }));
     EXPECT_EQ(server.seen().size(), 1u);
 }
 
@@ -244,7 +244,7 @@
     bench.may_write = [&](AttemptKey key) { return bench.upstream.withdraw_request(key.id), true; };
     bench.send(1, server.at());
     bench.run();
-    EXPECT_EQ(bench.outcomes, std::vector<Outcome>{Outcome::superseded});
+    EXPECT_EQ(bench.outcomes, std::vector<Outcome>{Outcome::not_sent});
     EXPECT_EQ(bench.upstream.open(), 0u);
     EXPECT_TRUE(server.seen().empty());
 }
@@ -256,10 +256,10 @@
     ASSERT_EQ(house.ask(app, kHealth).result_int(), 200u);
     app.wire.write(App::request("listen"));
     // The connection is up in the kernel, and nobody here knows yet; nor that the client then leaves.
-    while (house.sidecar.held().connections == 0) house.io.restart(), house.io.run_one();
+    while (house.sidecar.usage().connections == 0) house.io.restart(), house.io.run_one();
     app.wire.socket.close();
-    ASSERT_TRUE(house.until([&] { return house.sidecar.totals().left == 1; }));
-    EXPECT_TRUE(house.until([&] { return house.sidecar.held().requests == 0; }));
+    ASSERT_TRUE(house.until([&] { return house.sidecar.totals().client_disconnects == 1; }));
+    EXPECT_TRUE(house.until([&] { return house.sidecar.usage().requests == 0; }));
     EXPECT_TRUE(server.seen().empty());
 }
 
@@ -294,9 +294,9 @@
         request.go.set_value();
         EXPECT_LT(request.came.get_future().get(), PartWritten::kWhole);
     };
-    check("its client left", Outcome::superseded, [](Bench& b) { b.upstream.withdraw_request(b.last); });
-    check("cancelled", Outcome::superseded, [](Bench& b) { b.upstream.cancel({b.last, 0}); });
-    check("expired", Outcome::refused_connection, [](Bench& b) { b.upstream.expire({b.last, 0}); });
+    check("its client left", Outcome::not_sent, [](Bench& b) { b.upstream.withdraw_request(b.last); });
+    check("cancelled", Outcome::not_sent, [](Bench& b) { b.upstream.cancel({b.last, 0}); });
+    check("expired", Outcome::connect_failure, [](Bench& b) { b.upstream.expire({b.last, 0}); });
 }
 
 // Its leaving may be in the kernel, unread, when there is room for the next part.
@@ -305,7 +305,7 @@
     request.bench.may_write = [](AttemptKey) { return false; };
     request.go.set_value();
     request.bench.run();
-    EXPECT_EQ(request.bench.outcomes, std::vector<Outcome>{Outcome::superseded});
+    EXPECT_EQ(request.bench.outcomes, std::vector<Outcome>{Outcome::not_sent});
     EXPECT_LT(request.came.get_future().get(), PartWritten::kWhole);
 }
 
@@ -325,7 +325,7 @@
         std::string more;
         while (more.size() < ahead) more += App::request("listen");
         std::thread client([&] { app->wire.write(more), app.reset(); });
-        EXPECT_TRUE(house.until([&] { return house.sidecar.totals().left == 1; }));
+        EXPECT_TRUE(house.until([&] { return house.sidecar.totals().client_disconnects == 1; }));
         client.join();
         EXPECT_TRUE(closed.get_future().get());
         EXPECT_EQ(server.seen().size(), 1u) << "nor is anything sent on that waited behind it";
@@ -355,9 +355,9 @@
     ASSERT_TRUE(house.until([&] {
         do push(), house.io.restart();
         while (house.io.poll() > 0);
-        if (house.sidecar.totals().left == 1) return true;
+        if (house.sidecar.totals().client_disconnects == 1) return true;
         house.io.restart();
-        if (house.io.run_for(std::chrono::milliseconds(5)) == 0) house.listener.look(), ++looks;
+        if (house.io.run_for(std::chrono::milliseconds(5)) == 0) house.listener.check_deadlines(), ++looks;
         return false;
     }));
     EXPECT_LE(looks, 6);
@@ -381,7 +381,7 @@
     // All of the flood has been taken from its own kernel, and so most of it from the house's.
     ASSERT_TRUE(house.until([&] {
         int unsent = 1;
-        house.listener.look();
+        house.listener.check_deadlines();
         ::ioctl(flood.wire.socket.native_handle(), SIOCOUTQ, &unsent);
         return written && unsent == 0;
     }));
@@ -414,7 +414,7 @@
     for (int i = 0; i < 40; ++i) house.turn();
     EXPECT_EQ(house.ask(other, App::request("deposit", "25000m", body)).result_int(), 503u);
     ahead.reset();
-    ASSERT_TRUE(house.until([&] { return house.sidecar.totals().left == 1; }));
+    ASSERT_TRUE(house.until([&] { return house.sidecar.totals().client_disconnects == 1; }));
     App again(house.listener.endpoint());
     go.set_value();
     EXPECT_EQ(house.ask(again, App::request("deposit", "25000m", body)).result_int(), 200u);
@@ -430,7 +430,7 @@
     ASSERT_TRUE(house.until([&] { return house.listener.connections() == 1; }));
     house.clock.skip(2600);
     app.wire.write(App::request("listen"));
-    house.listener.look();
+    house.listener.check_deadlines();
     EXPECT_EQ(house.answer(app).result_int(), 200u);
 }
 
@@ -439,7 +439,7 @@
     App app(house.listener.endpoint());
     ASSERT_TRUE(house.until([&] { return house.listener.connections() == 1; }));
     house.clock.skip(2600);
-    house.listener.look();
+    house.listener.check_deadlines();
     EXPECT_EQ(house.listener.connections(), 0u);
 }
 
@@ -502,7 +502,7 @@
     App silent(house.listener.endpoint());
     ASSERT_TRUE(house.until([&] { return house.listener.connections() > 0; }));
     EXPECT_TRUE(house.until([&] {
-        house.listener.close_quiet();
+        house.listener.close_idle();
         return house.listener.connections() == 0;
     }));
 }
@@ -609,11 +609,11 @@
     ASSERT_TRUE(server.wait_for(1));
     const json next = with_deadlines(config, 100);
     ASSERT_EQ(sidecar.in_loop([&] {
-        return sidecar.node().change(next, Generations::Source::operators, false, {}).result;
+        return sidecar.node().change(next, ConfigVersions::Source::operators, false, {}).result;
     }),
-              Change::Result::applied);
+              ConfigChange::Result::applied);
     std::promise<std::size_t> unanswered;
-    sidecar.stop([&] { unanswered.set_value(sidecar.node().sidecar().unanswered()); });
+    sidecar.stop([&] { unanswered.set_value(sidecar.node().sidecar().pending_requests()); });
     EXPECT_EQ(unanswered.get_future().get(), 0u);
     EXPECT_EQ(app.answer().result_int(), 502u);
 }
@@ -692,7 +692,7 @@
     request.bench.clock.skip(10000);
     request.go.set_value();
     request.bench.run();
-    EXPECT_EQ(request.bench.outcomes, std::vector<Outcome>{Outcome::superseded});
+    EXPECT_EQ(request.bench.outcomes, std::vector<Outcome>{Outcome::not_sent});
     EXPECT_LT(request.came.get_future().get(), PartWritten::kWhole);
 }
 
@@ -738,7 +738,7 @@
     House house(config);
     App app(house.listener.endpoint());
     app.wire.write(App::request("deposit"));
-    ASSERT_TRUE(house.until([&] { return house.sidecar.held().connections == 1; }));
+    ASSERT_TRUE(house.until([&] { return house.sidecar.usage().connections == 1; }));
     house.tell({host("s1", draining.at(), "DRAINING"), host("s2", fresh.at())});
     EXPECT_EQ(house.answer(app).result_int(), 200u);
     EXPECT_EQ(house.sidecar.totals().attempts, 2u);
@@ -753,7 +753,7 @@
     discovery.wait_for(1);
     App app(sidecar.at);
     app.wire.write(App::request("deposit"));
-    while (sidecar.held().connections == 0) {
+    while (sidecar.usage().connections == 0) {
     }
     discovery.say(6, false, {host("s1", after.at())});
     const auto start = steady_clock::now();
@@ -768,13 +768,13 @@
     FakeDiscovery fresh;
     fresh.say(1, true, {});
     bool failed = false, told = false;
-    Discovery discovery(
+    DiscoveryClient discovery(
         io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 1), std::nullopt, true, 7,
-        {[&](const HostList&) { told = true, io.stop(); }, [&] { failed = true, io.stop(); }});
+        {[&](const EndpointList&) { told = true, io.stop(); }, [&] { failed = true, io.stop(); }});
     discovery.watch(true);
     io.run_for(kPatience);
     ASSERT_TRUE(failed);
-    discovery.move_to(endpoint_of(fresh.at()));
+    discovery.set_address(endpoint_of(fresh.at()));
     io.restart();
     io.run_for(kPatience);
     EXPECT_TRUE(told);
@@ -790,8 +790,8 @@
     silent.say(6, false, {});
     int failed = 0;
     bool told = false;
-    Discovery discovery(io, endpoint_of(silent.at()), 5, true, 7,
-                        {[&](const HostList&) { told = true, io.stop(); }, [&] { ++failed; }});
+    DiscoveryClient discovery(io, endpoint_of(silent.at()), 5, true, 7,
+                              {[&](const EndpointList&) { told = true, io.stop(); }, [&] { ++failed; }});
     discovery.watch(true);
     io.run_for(kPatience);
     EXPECT_TRUE(told);
@@ -818,7 +818,7 @@
     house.turn();
     config["settings"]["classes"].erase(0);
     config["settings"]["classes"][1]["effect"] = "once";
-    house.sidecar.use(House::snapshot_of(config, 2), {20000, 15000, 50, 0});
+    house.sidecar.apply(House::snapshot_of(config, 2), {20000, 15000, 50, 0});
     for (auto& each : all)
         EXPECT_EQ(house.ask(*each.app, each.text.substr(each.text.size() - 1)).result_int(), each.status);
     EXPECT_EQ(server.seen().size(), 1u);
@@ -841,7 +841,7 @@
     ASSERT_TRUE(house.until([&] { return house.listener.connections() == 1; }));
     house.turn();
     config["settings"]["classes"][2]["effect"] = "once";
-    house.sidecar.use(House::snapshot_of(config, 2), {20000, 15000, 50, 0});
+    house.sidecar.apply(House::snapshot_of(config, 2), {20000, 15000, 50, 0});
     EXPECT_EQ(house.ask(app, text.substr(60)).result_int(), 502u);
     EXPECT_EQ(server.seen().size(), 1u);
 }
--- a/tests/proxy/rule_guard_test.cpp
+++ b/tests/proxy/rule_guard_test.cpp
@@ -7,9 +7,9 @@
 namespace ochregrade::sidecar {
 namespace {
 
-RequestFacts request_of(Effect effect) {
+RequestFacts request_of(Idempotency effect) {
     RequestFacts request;
-    request.kind.effect = effect;
+    request.kind.idempotency = effect;
     request.kind.dedup_scope = DedupScope::zone;
     request.kind.dedup_window = 500;
     request.deadline = 1000;
@@ -19,44 +19,48 @@
     return request;
 }
 constexpr std::size_t kSecond = 1;
-const ServerFacts kServing{true, 7, 0};
+const EndpointFacts kServing{true, 7, 0};
 
 struct SendCase {
     const char* name;
-    Effect effect;
-    void (*change)(RequestFacts&, ServerFacts&, Millis& now);
+    Idempotency effect;
+    void (*change)(RequestFacts&, EndpointFacts&, Millis& now);
     std::optional<Withheld> expected;
 };
 
 TEST(RuleGuard, WithholdsASendForEachReasonAndCountsWrongDecisions) {
     using enum Withheld;
     const SendCase cases[] = {
-        {"allowed", Effect::repeatable, [](auto&, auto&, auto&) {}, {}},
-        {"keyed in scope", Effect::by_key, [](auto&, auto&, auto&) {}, {}},
-        {"client left", Effect::repeatable, [](auto& r, auto&, auto&) { r.client_left = true; }, client_left},
-        {"answered", Effect::repeatable, [](auto& r, auto&, auto&) { r.answered = true; }, answered},
-        {"deadline", Effect::repeatable, [](auto&, auto&, auto& now) { now = 1000; }, deadline_passed},
-        {"draining", Effect::repeatable, [](auto&, auto& s, auto&) { s.serving = false; },
+        {"allowed", Idempotency::idempotent, [](auto&, auto&, auto&) {}, {}},
+        {"keyed in scope", Idempotency::idempotent_with_key, [](auto&, auto&, auto&) {}, {}},
+        {"client left", Idempotency::idempotent, [](auto& r, auto&, auto&) { r.client_disconnected = true; },
+         client_disconnected},
+        {"answered", Idempotency::idempotent, [](auto& r, auto&, auto&) { r.answered = true; }, answered},
+        {"deadline", Idempotency::idempotent, [](auto&, auto&, auto& now) { now = 1000; }, deadline_passed},
+        {"draining", Idempotency::idempotent, [](auto&, auto& s, auto&) { s.serving = false; },
          server_not_serving},
-        {"window", Effect::by_key, [](auto&, auto&, auto& now) { now = 600; }, key_window_over},
-        {"once", Effect::once, [](auto&, auto&, auto&) {}, may_have_run},
+        {"window", Idempotency::idempotent_with_key, [](auto&, auto&, auto& now) { now = 600; },
+         key_window_over},
+        {"once", Idempotency::not_idempotent, [](auto&, auto&, auto&) {}, may_have_run},
         {"once, certain not to have run",
-         Effect::once,
+         Idempotency::not_idempotent,
          [](auto& r, auto&, auto&) { r.attempts[0].may_have_run = false; },
          {}},
-        {"once, in flight", Effect::once,
+        {"once, in flight", Idempotency::not_idempotent,
          [](auto& r, auto&, auto&) { r.attempts[0].in_flight = true, r.attempts[0].may_have_run = false; },
          may_have_run},
-        {"scope", Effect::by_key, [](auto&, auto& s, auto&) { s.zone = 8; }, key_out_of_scope},
-        {"attempts", Effect::repeatable, [](auto& r, auto&, auto&) { r.max_attempts = 1; }, attempts_used},
-        {"not in parallel", Effect::repeatable, [](auto& r, auto&, auto&) { r.attempts[0].in_flight = true; },
-         attempt_in_flight},
+        {"scope", Idempotency::idempotent_with_key, [](auto&, auto& s, auto&) { s.zone = 8; },
+         key_out_of_scope},
+        {"attempts", Idempotency::idempotent, [](auto& r, auto&, auto&) { r.max_attempts = 1; },
+         attempts_exhausted},
+        {"not in parallel", Idempotency::idempotent,
+         [](auto& r, auto&, auto&) { r.attempts[0].in_flight = true; }, attempt_in_flight},
     };
     for (const SendCase& c : cases) {
         SCOPED_TRACE(c.name);
         RuleGuard guard;
         RequestFacts request = request_of(c.effect);
-        ServerFacts server = kServing;
+        EndpointFacts server = kServing;
         Millis now = 300;
         c.change(request, server, now);
         EXPECT_EQ(guard.check_send(request, kSecond, server, now), c.expected);
@@ -66,26 +70,27 @@
 
 TEST(RuleGuard, ARefusalPromisesThatNothingRan) {
     RuleGuard guard;
-    EXPECT_TRUE(guard.check_refusal(request_of(Effect::repeatable), 300));
-    EXPECT_FALSE(guard.check_refusal(request_of(Effect::once), 300));
-    EXPECT_FALSE(guard.check_refusal(request_of(Effect::by_key), 300)) << "its key is known in one zone only";
-    RequestFacts everywhere = request_of(Effect::by_key);
+    EXPECT_TRUE(guard.check_rejection(request_of(Idempotency::idempotent), 300));
+    EXPECT_FALSE(guard.check_rejection(request_of(Idempotency::not_idempotent), 300));
+    EXPECT_FALSE(guard.check_rejection(request_of(Idempotency::idempotent_with_key), 300))
+        << "its key is known in one zone only";
+    RequestFacts everywhere = request_of(Idempotency::idempotent_with_key);
     everywhere.kind.dedup_scope = DedupScope::all;
-    EXPECT_TRUE(guard.check_refusal(everywhere, 300));
-    EXPECT_FALSE(guard.check_refusal(everywhere, 700)) << "the servers have forgotten its key";
+    EXPECT_TRUE(guard.check_rejection(everywhere, 300));
+    EXPECT_FALSE(guard.check_rejection(everywhere, 700)) << "the servers have forgotten its key";
     EXPECT_EQ(guard.counts().all_violations(), 3U);
 }
 
 TEST(RuleGuard, CountsWhatCanNoLongerBeWithheld) {
     RuleGuard guard;
     guard.check_answer(1000, 1000 + RuleGuard::kAnswerGrace);
-    guard.check_time_told(400, 400 - RuleGuard::kTimeSlack);
+    guard.check_propagated_deadline(400, 400 - RuleGuard::kTimeSlack);
     guard.check_close(true, true);
     guard.check_close(false, false);
     guard.check_ready(true);
     EXPECT_EQ(guard.counts().all_violations(), 0U);
     guard.check_answer(1000, 1001 + RuleGuard::kAnswerGrace);
-    guard.check_time_told(400, 399 - RuleGuard::kTimeSlack);
+    guard.check_propagated_deadline(400, 399 - RuleGuard::kTimeSlack);
     guard.check_close(true, false);
     guard.check_ready(false);
     EXPECT_EQ(guard.counts().all_violations(), 4U);
--- a/tests/proxy/sidecar_test.cpp
+++ b/tests/proxy/sidecar_test.cpp
@@ -237,16 +237,16 @@
     asio::io_context io(1);
     Clock clock;
     std::vector<Outcome> outcomes;
-    Upstream upstream(
+    UpstreamPool upstream(
         io, clock, {},
         {[&](AttemptKey, Outcome outcome, HttpResponse*) { outcomes.push_back(outcome), io.stop(); },
-         [](ServerId, Outcome, Millis) {}});
+         [](EndpointId, Outcome, Millis) {}});
     auto request =
         std::make_shared<HttpRequest>(http::verb::post, "/deposit", 11, std::string(64 << 20, 'x'));
     request->prepare_payload();
     upstream.send({1, 0}, 1, server.at, request, clock.now() + 60000, clock.now() + 60000);
     io.run_for(kPatience);
-    EXPECT_EQ(outcomes, std::vector<Outcome>{Outcome::refused_connection});
+    EXPECT_EQ(outcomes, std::vector<Outcome>{Outcome::connect_failure});
 }
 
 TEST(Attempts, SilentConnectNeverRan) {
@@ -343,7 +343,7 @@
     Bench bench({1000, 15000, 50, 0});  // used again at once
     for (int i = 0; i < 20; ++i) {
         bench.send(1, server.at()), bench.run();
-        ASSERT_EQ(bench.outcomes.back(), Outcome::completed) << i;
+        ASSERT_EQ(bench.outcomes.back(), Outcome::success) << i;
         closed.wait(i);
     }
     EXPECT_EQ(server.seen().size(), 20u);
@@ -383,7 +383,7 @@
         bench.run();
         bench.send(1, server.at());
         bench.run();
-        EXPECT_EQ(bench.outcomes, std::vector<Outcome>(2, Outcome::completed));
+        EXPECT_EQ(bench.outcomes, std::vector<Outcome>(2, Outcome::success));
         EXPECT_EQ(server.connections() - before, settled ? 1 : 2);
     }
 }
@@ -393,19 +393,19 @@
 TEST(Pool, NothingStaysOfServersThatAreGone) {
     FakeServer server;
     Bench bench({1000, 15000, 50, 0});
-    for (ServerId id = 1; id <= 2000; ++id) {
+    for (EndpointId id = 1; id <= 2000; ++id) {
         bench.send(id, server.at());
         if (id % 2) bench.upstream.retire(id);  // with the attempt out
         bench.run();
         if (id % 2 == 0) {
             EXPECT_EQ(bench.upstream.open(), 1u);
-            bench.upstream.withdraw_server(id);
+            bench.upstream.withdraw_endpoint(id);
         }
         ASSERT_EQ(bench.upstream.open(), 0u) << id;
         ASSERT_EQ(bench.upstream.pools(), 0u) << id;
-        ASSERT_EQ(bench.upstream.out(), 0u) << id;
+        ASSERT_EQ(bench.upstream.in_flight(), 0u) << id;
     }
-    EXPECT_EQ(bench.outcomes, std::vector<Outcome>(2000, Outcome::completed));
+    EXPECT_EQ(bench.outcomes, std::vector<Outcome>(2000, Outcome::success));
     EXPECT_EQ(server.connections(), 2000);
 }
 
@@ -415,7 +415,7 @@
     Bench bench({60000, 15000, 1, 0});
     bench.send(1, silent.at());
     bench.send(2, silent.at());
-    EXPECT_EQ(bench.outcomes, std::vector<Outcome>{Outcome::superseded});
+    EXPECT_EQ(bench.outcomes, std::vector<Outcome>{Outcome::not_sent});
     EXPECT_EQ(bench.upstream.open(), 1u);
 }
 
@@ -427,14 +427,14 @@
         const NoDescriptors none;
         bench.send(2, second.at()), bench.run();
     }
-    EXPECT_EQ(bench.outcomes, (std::vector<Outcome>{Outcome::completed, Outcome::superseded}));
+    EXPECT_EQ(bench.outcomes, (std::vector<Outcome>{Outcome::success, Outcome::not_sent}));
     EXPECT_EQ(bench.upstream.open(), 1u);
     {  // one that passes is waited out
         const NoDescriptors none;
         bench.send(2, second.at());
     }
     bench.run();
-    EXPECT_EQ(bench.outcomes.back(), Outcome::completed);
+    EXPECT_EQ(bench.outcomes.back(), Outcome::success);
     EXPECT_EQ(bench.upstream.open(), 2u);
 }
 
@@ -445,7 +445,7 @@
     bench.send(1, server.at()), bench.run();
     bench.clock.skip(14500);
     bench.send(1, server.at()), bench.run();
-    EXPECT_EQ(bench.outcomes, (std::vector<Outcome>{Outcome::completed, Outcome::completed}));
+    EXPECT_EQ(bench.outcomes, (std::vector<Outcome>{Outcome::success, Outcome::success}));
     EXPECT_EQ(server.connections(), 2);
 }
 
@@ -479,7 +479,7 @@
     Running sidecar(a_config(discovery.at(), {host("s1", mixed.at())}));
     const auto wait_for = [&](const auto& reached) {
         const auto start = steady_clock::now();
-        while (!reached(sidecar.held())) {
+        while (!reached(sidecar.usage())) {
             if (seconds_since(start) > 30) return false;
             std::this_thread::sleep_for(std::chrono::milliseconds(5));
         }
@@ -497,17 +497,21 @@
             go.push_back(host(name, kNowhere, "DELETED"));
         }
         discovery.say(++seq, false, come);
-        ASSERT_TRUE(wait_for([](const Sidecar::Held& h) { return h.servers == 501 && h.records == 501; }));
+        ASSERT_TRUE(wait_for(
+            [](const BalancerDriver::Usage& h) { return h.endpoints == 501 && h.known_endpoints == 501; }));
         discovery.say(++seq, false, go);
-        ASSERT_TRUE(wait_for([](const Sidecar::Held& h) { return h.servers == 1 && h.records == 1; }));
+        ASSERT_TRUE(wait_for(
+            [](const BalancerDriver::Usage& h) { return h.endpoints == 1 && h.known_endpoints == 1; }));
     }
-    EXPECT_TRUE(wait_for([](const Sidecar::Held& h) { return h.requests == 0 && h.attempts == 0; }));
+    EXPECT_TRUE(wait_for([](const BalancerDriver::Usage& h) { return h.requests == 0 && h.attempts == 0; }));
     discovery.say(++seq, true, {host("s2", mixed.at())});
-    EXPECT_TRUE(
-        wait_for([](const Sidecar::Held& h) { return h.servers == 1 && h.records == 1 && h.pools == 0; }));
+    EXPECT_TRUE(wait_for([](const BalancerDriver::Usage& h) {
+        return h.endpoints == 1 && h.known_endpoints == 1 && h.pools == 0;
+    }));
 }
 
-// ---- Discovery -------------------------------------------------------------------------------------------
+// ---- DiscoveryClient
+// -------------------------------------------------------------------------------------------
 
 TEST(Watch, SurvivesGarbageOldListsAndDowntime) {
     FakeServer server;
@@ -953,7 +957,7 @@
     Running sidecar(config);
     App app(sidecar.at);
     for (int i = 0; i < 50; ++i) ASSERT_EQ(app.ask(App::request("listen")).result_int(), 200u) << i;
-    EXPECT_EQ(sidecar.held().servers, static_cast<std::size_t>(kMany));
+    EXPECT_EQ(sidecar.usage().endpoints, static_cast<std::size_t>(kMany));
     // All but one move; whoever is drawn next has moved, or is that one.
     for (json& h : hosts) h["dial"] = other.at();
     hosts[0]["dial"] = server.at();
@@ -966,7 +970,7 @@
     EXPECT_EQ(server.seen().size() + other.seen().size(), before + 50);
     discovery.say(7, true, {hosts[0]});
     discovery.wait_for(3);
-    EXPECT_EQ(sidecar.held().servers, 1u);
+    EXPECT_EQ(sidecar.usage().endpoints, 1u);
     ASSERT_EQ(app.ask(App::request("listen")).result_int(), 200u);
 }
 
@@ -1032,7 +1036,7 @@
     EXPECT_GT(seconds_since(start), 0.4);
 }
 
-// ---- Peers
+// ---- GossipTransport
 // --------------------------------------------------------------------------------------------------
 
 TEST(PeerMessages, OnlyShortOnesFromPeersAreHeard) {
@@ -1046,12 +1050,12 @@
     }
     std::vector<std::vector<std::uint8_t>> heard;
     const auto peers =
-        std::make_shared<Peers>(io, at, [&](std::uint32_t from, std::vector<std::uint8_t> bytes) {
+        std::make_shared<GossipTransport>(io, at, [&](std::uint32_t from, std::vector<std::uint8_t> bytes) {
             EXPECT_EQ(from, 1u);
             heard.push_back(std::move(bytes));
             io.stop();
         });
-    peers->use({at, peer.local_endpoint()}, std::nullopt);
+    peers->set_peers({at, peer.local_endpoint()}, std::nullopt);
     peers->listen();
     const std::vector<std::uint8_t> fit(256, 1), long_one(257, 2), word(4, 3);
     stranger.send_to(asio::buffer(word), at);
@@ -1059,8 +1063,8 @@
     peer.send_to(asio::buffer(fit), at);
     io.run_for(kPatience);
     EXPECT_EQ(heard, std::vector<std::vector<std::uint8_t>>{fit});
-    peers->tell(1, long_one);  // would break the rule on length: stays here
-    peers->tell(1, word);
+    peers->send(1, long_one);  // would break the rule on length: stays here
+    peers->send(1, word);
     std::array<std::uint8_t, 512> bytes{};
     EXPECT_EQ(peer.receive(asio::buffer(bytes)), word.size());
 }
--- a/tests/recovery/crash_test.cpp
+++ b/tests/recovery/crash_test.cpp
@@ -139,9 +139,9 @@
     Fixture f;
     f.config["ochregrade"]["state"]["lived_ms"] = 3600000;
     f.place.write(f.config.dump());
-    for (int life = 0; life < Keeper::kShortLives + 2; ++life) EXPECT_EQ(f.start()->end(SIGTERM), 0);
+    for (int life = 0; life < StateStore::kMaxShortRuns + 2; ++life) EXPECT_EQ(f.start()->end(SIGTERM), 0);
     EXPECT_EQ(f.place.log().find("lives were short"), std::string::npos) << f.place.log();
-    for (int life = 0; life < Keeper::kShortLives + 1; ++life) f.start()->end(SIGKILL);
+    for (int life = 0; life < StateStore::kMaxShortRuns + 1; ++life) f.start()->end(SIGKILL);
     EXPECT_NE(f.place.log().find("lives were short"), std::string::npos) << "but kills are";
 }
 
--- a/tests/recovery/recorded_bytes_test.cpp
+++ b/tests/recovery/recorded_bytes_test.cpp
@@ -25,7 +25,7 @@
     const Config c = recorded_config();
     EXPECT_EQ(c.name, "n3");
     EXPECT_EQ(text_of(c.listen), "127.0.0.1:8081");
-    EXPECT_EQ(text_of(c.discovery), "127.0.0.2:8500");
+    EXPECT_EQ(text_of(c.discovery_address), "127.0.0.2:8500");
     EXPECT_EQ(c.seed, 0x1f2e3d4c5b6a7988u);
     EXPECT_EQ(c.sockets, 512u);
     EXPECT_EQ(c.memory_mb, 64u);
@@ -38,39 +38,39 @@
 
 TEST(RecordedConfiguration, GivesTheOwnSection) {
     const Config c = recorded_config();
-    EXPECT_EQ(text_of(c.admin.value()), "127.0.0.1:9901");
-    EXPECT_EQ(c.state_dir, "/var/lib/cobaltshift");
-    EXPECT_EQ(c.lived, 3000);
-    EXPECT_EQ(c.trial.bake, 5000);
-    EXPECT_EQ(c.trial.margin, 0.125);
-    EXPECT_EQ(c.trial.min_samples, 20u);
+    EXPECT_EQ(text_of(c.operator_endpoint.value()), "127.0.0.1:9901");
+    EXPECT_EQ(c.state_directory, "/var/lib/cobaltshift");
+    EXPECT_EQ(c.stable_uptime, 3000);
+    EXPECT_EQ(c.canary.duration, 5000);
+    EXPECT_EQ(c.canary.max_drop, 0.125);
+    EXPECT_EQ(c.canary.min_samples, 20u);
     EXPECT_EQ(c.epoch, 7u);
-    EXPECT_EQ(c.rollout, 0.25);
-    EXPECT_TRUE(c.fleet.enabled);
-    EXPECT_FALSE(c.fleet.agreement);
-    EXPECT_EQ(c.fleet.probe_period, 900);
-    EXPECT_EQ(c.fleet.gossip_period, 90);
-    EXPECT_EQ(c.fleet.sync_period, 1900);
-    EXPECT_TRUE(c.shares());
+    EXPECT_EQ(c.rollout_share, 0.25);
+    EXPECT_TRUE(c.replication.enabled);
+    EXPECT_FALSE(c.replication.version_agreement);
+    EXPECT_EQ(c.replication.probe_period, 900);
+    EXPECT_EQ(c.replication.gossip_period, 90);
+    EXPECT_EQ(c.replication.sync_period, 1900);
+    EXPECT_TRUE(c.joins_replication());
 }
 
 TEST(RecordedConfiguration, GivesTheKnownList) {
-    const HostList list = recorded_config().known.value();
+    const EndpointList list = recorded_config().known_endpoints.value();
     EXPECT_EQ(list.seq, 41u);
-    EXPECT_TRUE(list.whole);
-    ASSERT_EQ(list.hosts.size(), 3u);
-    EXPECT_EQ(list.hosts[0].name, "s1");
-    EXPECT_EQ(text_of(list.hosts[0].dial), "127.0.1.1:9001");
-    EXPECT_EQ(list.hosts[0].zone, "a");
-    EXPECT_EQ(list.hosts[0].cell, 2u);
-    EXPECT_EQ(list.hosts[0].phase, Phase::on);
-    EXPECT_EQ(list.hosts[0].born, 1700000000000.0);
-    EXPECT_EQ(list.hosts[0].units, 1.5);
-    EXPECT_EQ(text_of(list.hosts[1].dial), "[::1]:9002");
-    EXPECT_EQ(list.hosts[1].phase, Phase::fading);
-    EXPECT_EQ(list.hosts[2].name, "s3");
-    EXPECT_EQ(list.hosts[2].phase, Phase::off);
-    EXPECT_EQ(list.hosts[2].units, 1);
+    EXPECT_TRUE(list.complete);
+    ASSERT_EQ(list.endpoints.size(), 3u);
+    EXPECT_EQ(list.endpoints[0].name, "s1");
+    EXPECT_EQ(text_of(list.endpoints[0].address), "127.0.1.1:9001");
+    EXPECT_EQ(list.endpoints[0].zone, "a");
+    EXPECT_EQ(list.endpoints[0].cell, 2u);
+    EXPECT_EQ(list.endpoints[0].state, EndpointState::serving);
+    EXPECT_EQ(list.endpoints[0].started_at, 1700000000000.0);
+    EXPECT_EQ(list.endpoints[0].capacity_weight, 1.5);
+    EXPECT_EQ(text_of(list.endpoints[1].address), "[::1]:9002");
+    EXPECT_EQ(list.endpoints[1].state, EndpointState::draining);
+    EXPECT_EQ(list.endpoints[2].name, "s3");
+    EXPECT_EQ(list.endpoints[2].state, EndpointState::gone);
+    EXPECT_EQ(list.endpoints[2].capacity_weight, 1);
 }
 
 TEST(RecordedConfiguration, GivesTheClasses) {
@@ -79,40 +79,40 @@
     EXPECT_EQ(c.longest_deadline, 3000) << "of the class that says none";
     const auto& classes = c.settings.classes;
     ASSERT_EQ(classes.size(), 3u);
-    const auto expect = [&](std::size_t i, Effect effect, DedupScope scope, Millis window, Millis aim,
+    const auto expect = [&](std::size_t i, Idempotency effect, DedupScope scope, Millis window, Millis aim,
                             double stretch, double worth) {
-        EXPECT_EQ(classes[i].effect, effect) << i;
+        EXPECT_EQ(classes[i].idempotency, effect) << i;
         EXPECT_EQ(classes[i].dedup_scope, scope) << i;
         EXPECT_EQ(classes[i].dedup_window, window) << i;
-        EXPECT_EQ(classes[i].aim, aim) << i;
-        EXPECT_EQ(classes[i].aim_stretch, stretch) << i;
-        EXPECT_EQ(classes[i].worth, worth) << i;
+        EXPECT_EQ(classes[i].latency_objective, aim) << i;
+        EXPECT_EQ(classes[i].objective_per_effort, stretch) << i;
+        EXPECT_EQ(classes[i].priority_weight, worth) << i;
     };
-    expect(0, Effect::repeatable, DedupScope::all, 1000, 400, 1.25, 1);
-    expect(1, Effect::once, DedupScope::zone, 2000, 300, 0.5, 3);
-    expect(2, Effect::by_key, DedupScope::cell, 5000, 200, 0, 2);
+    expect(0, Idempotency::idempotent, DedupScope::all, 1000, 400, 1.25, 1);
+    expect(1, Idempotency::not_idempotent, DedupScope::zone, 2000, 300, 0.5, 3);
+    expect(2, Idempotency::idempotent_with_key, DedupScope::cell, 5000, 200, 0, 2);
 }
 
 TEST(RecordedConfiguration, GivesTheOtherSettings) {
     const Config c = recorded_config();
     const Settings& s = c.settings;
-    EXPECT_EQ(c.my_zone, "b");
-    EXPECT_EQ(s.my_zone, std::nullopt) << "it has no number yet";
-    EXPECT_TRUE(s.list_on_request);
-    EXPECT_EQ(s.siblings, 4u);
-    EXPECT_EQ(s.my_number, 3u);
+    EXPECT_EQ(c.local_zone, "b");
+    EXPECT_EQ(s.local_zone, std::nullopt) << "it has no number yet";
+    EXPECT_TRUE(s.polled_discovery);
+    EXPECT_EQ(s.sidecar_count, 4u);
+    EXPECT_EQ(s.sidecar_index, 3u);
     EXPECT_EQ(s.max_attempts, 5u);
-    EXPECT_TRUE(s.parallel_tries);
-    EXPECT_TRUE(s.may_cancel);
-    EXPECT_TRUE(s.may_probe);
-    EXPECT_TRUE(s.may_tell);
+    EXPECT_TRUE(s.hedging_allowed);
+    EXPECT_TRUE(s.cancel_allowed);
+    EXPECT_TRUE(s.probes_allowed);
+    EXPECT_TRUE(s.gossip_allowed);
     EXPECT_EQ(c.connect_timeout, 750);
-    EXPECT_EQ(c.idle_close, 12000);
+    EXPECT_EQ(c.idle_timeout, 12000);
     EXPECT_EQ(c.max_retry_after, 800);
-    EXPECT_EQ(s.ask_within, 650);
-    EXPECT_EQ(s.cold_from, 0.16);
-    EXPECT_EQ(s.fall_multiple, 2.5);
-    EXPECT_EQ(s.warm_within, 20000);
+    EXPECT_EQ(s.poll_interval, 650);
+    EXPECT_EQ(s.slow_start_least_share, 0.16);
+    EXPECT_EQ(s.slow_start_overload_factor, 2.5);
+    EXPECT_EQ(s.slow_start_duration, 20000);
     EXPECT_EQ(s.fees.cross_zone, 0.02);
     EXPECT_EQ(s.fees.probe, 0.001);
 }
@@ -126,7 +126,7 @@
 
 // ---- The state folder -------------------------------------------------------------------------------------
 
-const Stamp kWrittenAt{1.7e12 + 0.25, 5e6 + 0.5, "boot-a"};
+const Timestamps kWrittenAt{1.7e12 + 0.25, 5e6 + 0.5, "boot-a"};
 constexpr Millis kLater = 3000;
 const std::string kDiscovery = "127.0.0.2:8500";
 
@@ -144,9 +144,9 @@
 }
 std::string document_of(const json& j) { return read_config(j).document; }
 
-SnapshotPtr snapshot(std::uint64_t generation, const json& config) {
-    auto s = std::make_shared<Snapshot>();
-    s->generation = generation;
+ConfigSnapshotPtr snapshot(std::uint64_t generation, const json& config) {
+    auto s = std::make_shared<ConfigSnapshot>();
+    s->version = generation;
     s->config = read_config(config);
     return s;
 }
@@ -163,14 +163,14 @@
     const fs::path path;
 };
 
-std::unique_ptr<Keeper> keeper_of(const fs::path& path, const Stamp& now) {
+std::unique_ptr<StateStore> keeper_of(const fs::path& path, const Timestamps& now) {
     storage::OpenedFolder opened = storage::open_folder(path.string());
     EXPECT_TRUE(opened.folder) << path << " error " << opened.error;
-    return std::make_unique<Keeper>(std::move(opened.folder), [now] { return now; });
+    return std::make_unique<StateStore>(std::move(opened.folder), [now] { return now; });
 }
 
 // One record at a time, so that each has the same number every time.
-void settle(Keeper& keeper) {
+void settle(StateStore& keeper) {
     while (!keeper.settled()) std::this_thread::sleep_for(std::chrono::milliseconds(1));
     EXPECT_EQ(keeper.counts().failed, 0u);
 }
@@ -178,18 +178,19 @@
 void write_state(const fs::path& path) {
     const auto keeper = keeper_of(path, kWrittenAt);
     keeper->recover();
-    Generations generations;
-    generations.committed(snapshot(1, config_one()), Generations::Source::start, 0, {}, 1000.5);
-    generations.committed(snapshot(2, config_two()), Generations::Source::operators, 0, {}, 2000.25);
-    generations.committed(snapshot(3, config_on_trial()), Generations::Source::operators, 0, {1000, 0.05, 10},
-                          3000);
-    keeper->keep_config(generations, document_of(config_one())), settle(*keeper);
+    ConfigVersions generations;
+    generations.commit(snapshot(1, config_one()), ConfigVersions::Source::start, 0, {}, 1000.5);
+    generations.commit(snapshot(2, config_two()), ConfigVersions::Source::operators, 0, {}, 2000.25);
+    generations.commit(snapshot(3, config_on_trial()), ConfigVersions::Source::operators, 0, {1000, 0.05, 10},
+                       3000);
+    keeper->save_config(generations, document_of(config_one())), settle(*keeper);
     const json list = {{"seq", 77},
                        {"whole", true},
                        {"hosts", {host("s1", "127.0.0.1:5"), host("s2", "[::1]:6", "DRAINING")}}};
-    keeper->keep_world(read_hosts(list), kDiscovery, {{"s1", 0, 8000.5, 0.375}, {"s2", 0, 0, 0.25}});
+    keeper->save_endpoints(parse_endpoint_list(list), kDiscovery,
+                           {{"s1", 0, 8000.5, 0.375}, {"s2", 0, 0, 0.25}});
     settle(*keeper);
-    keeper->lived(), settle(*keeper);
+    keeper->confirm_stable_uptime(), settle(*keeper);
 }
 
 std::map<std::string, std::string> files_of(const fs::path& path) {
@@ -229,68 +230,69 @@
 }
 
 // A copy of the recorded folder: recovering writes to it.
-struct RecoveredState : testing::Test {
-    RecoveredState() {
+struct RecordedStateRecovered : testing::Test {
+    RecordedStateRecovered() {
         fs::copy(recorded::path_of("state"), folder.path, fs::copy_options::recursive);
-        keeper = keeper_of(folder.path, {kWrittenAt.wall + kLater, kWrittenAt.up + kLater, "boot-a"});
+        keeper = keeper_of(folder.path, {kWrittenAt.wall + kLater, kWrittenAt.uptime + kLater, "boot-a"});
         recovered = keeper->recover();
     }
     TemporaryFolder folder;
-    std::unique_ptr<Keeper> keeper;
-    Recovered recovered;
+    std::unique_ptr<StateStore> keeper;
+    RecoveredState recovered;
 };
 
-TEST_F(RecoveredState, HasTheConfigurationThatWasGood) {
-    ASSERT_TRUE(recovered.good);
-    EXPECT_EQ(recovered.good->dump(), document_of(config_two()));
+TEST_F(RecordedStateRecovered, HasTheConfigurationThatWasGood) {
+    ASSERT_TRUE(recovered.last_known_good);
+    EXPECT_EQ(recovered.last_known_good->dump(), document_of(config_two()));
     EXPECT_EQ(recovered.file, document_of(config_one()));
-    EXPECT_EQ(recovered.next, 4u);
-    EXPECT_TRUE(recovered.trial_lost);
-    EXPECT_FALSE(recovered.loop);
-    ASSERT_EQ(recovered.kept.size(), 2u);
-    EXPECT_EQ(recovered.kept[0].number(), 1u);
-    EXPECT_EQ(recovered.kept[0].content, 1u);
-    EXPECT_EQ(recovered.kept[0].at, 1000.5);
-    EXPECT_EQ(recovered.kept[0].snapshot->config.document, document_of(config_one()));
-    EXPECT_EQ(recovered.kept[1].number(), 2u);
-    EXPECT_EQ(recovered.kept[1].content, 2u);
-    EXPECT_EQ(recovered.kept[1].at, 2000.25);
-    EXPECT_EQ(recovered.kept[1].snapshot->config.document, document_of(config_two()));
-    for (const auto& entry : recovered.kept) {
-        EXPECT_EQ(entry.source, Generations::Source::recovery);
-        EXPECT_EQ(entry.state, Generations::State::good);
+    EXPECT_EQ(recovered.next_version, 4u);
+    EXPECT_TRUE(recovered.canary_interrupted);
+    EXPECT_FALSE(recovered.crash_loop);
+    ASSERT_EQ(recovered.versions.size(), 2u);
+    EXPECT_EQ(recovered.versions[0].number(), 1u);
+    EXPECT_EQ(recovered.versions[0].content_version, 1u);
+    EXPECT_EQ(recovered.versions[0].committed_at, 1000.5);
+    EXPECT_EQ(recovered.versions[0].snapshot->config.document, document_of(config_one()));
+    EXPECT_EQ(recovered.versions[1].number(), 2u);
+    EXPECT_EQ(recovered.versions[1].content_version, 2u);
+    EXPECT_EQ(recovered.versions[1].committed_at, 2000.25);
+    EXPECT_EQ(recovered.versions[1].snapshot->config.document, document_of(config_two()));
+    for (const auto& entry : recovered.versions) {
+        EXPECT_EQ(entry.source, ConfigVersions::Source::recovery);
+        EXPECT_EQ(entry.state, ConfigVersions::State::good);
         EXPECT_EQ(entry.note, "from an earlier life");
     }
 }
 
-TEST_F(RecoveredState, HasTheListAndWhatWasLearntAged) {
-    ASSERT_TRUE(recovered.list);
+TEST_F(RecordedStateRecovered, HasTheListAndWhatWasLearntAged) {
+    ASSERT_TRUE(recovered.endpoints);
     EXPECT_EQ(recovered.discovery, kDiscovery);
-    EXPECT_EQ(recovered.list->seq, 77u);
-    EXPECT_TRUE(recovered.list->whole);
-    ASSERT_EQ(recovered.list->hosts.size(), 2u);
-    const Host &first = recovered.list->hosts[0], &second = recovered.list->hosts[1];
+    EXPECT_EQ(recovered.endpoints->seq, 77u);
+    EXPECT_TRUE(recovered.endpoints->complete);
+    ASSERT_EQ(recovered.endpoints->endpoints.size(), 2u);
+    const ListedEndpoint &first = recovered.endpoints->endpoints[0],
+                         &second = recovered.endpoints->endpoints[1];
     EXPECT_EQ(first.name, "s1");
-    EXPECT_EQ(text_of(first.dial), "127.0.0.1:5");
+    EXPECT_EQ(text_of(first.address), "127.0.0.1:5");
     EXPECT_EQ(first.zone, "a");
     EXPECT_EQ(first.cell, 0u);
-    EXPECT_EQ(first.phase, Phase::on);
-    EXPECT_EQ(first.born, 0);
-    EXPECT_EQ(first.units, 1);
+    EXPECT_EQ(first.state, EndpointState::serving);
+    EXPECT_EQ(first.started_at, 0);
+    EXPECT_EQ(first.capacity_weight, 1);
     EXPECT_EQ(second.name, "s2");
-    EXPECT_EQ(text_of(second.dial), "[::1]:6");
-    EXPECT_EQ(second.phase, Phase::fading);
-    ASSERT_EQ(recovered.learnt.size(), 2u);
-    EXPECT_EQ(recovered.learnt[0].name, "s1");
-    EXPECT_EQ(recovered.learnt[0].born, 0);
-    EXPECT_EQ(recovered.learnt[0].removed_for, 8000.5 - kLater);
-    EXPECT_EQ(recovered.learnt[0].pace, 0.375);
-    EXPECT_EQ(recovered.learnt[1].name, "s2");
-    EXPECT_EQ(recovered.learnt[1].pace, 0.25);
+    EXPECT_EQ(text_of(second.address), "[::1]:6");
+    EXPECT_EQ(second.state, EndpointState::draining);
+    ASSERT_EQ(recovered.snapshots.size(), 2u);
+    EXPECT_EQ(recovered.snapshots[0].name, "s1");
+    EXPECT_EQ(recovered.snapshots[0].started_at, 0);
+    EXPECT_EQ(recovered.snapshots[0].ejected_for, 8000.5 - kLater);
+    EXPECT_EQ(recovered.snapshots[0].latency_ratio, 0.375);
+    EXPECT_EQ(recovered.snapshots[1].name, "s2");
+    EXPECT_EQ(recovered.snapshots[1].latency_ratio, 0.25);
 }
 
 // Read, not set aside: what was there is there still, and the new life is counted.
-TEST_F(RecoveredState, LeavesTheRecordedFilesAndCountsTheLife) {
+TEST_F(RecordedStateRecovered, LeavesTheRecordedFilesAndCountsTheLife) {
     keeper.reset();
     auto after = files_of(folder.path);
     for (const auto& [name, bytes] : files_of(recorded::path_of("state")))
--- a/tests/replication/decode_fuzz.cpp
+++ b/tests/replication/decode_fuzz.cpp
@@ -24,7 +24,7 @@
     Replica replica(1, 40, 1'700'000'000, 5);
     std::vector<Outgoing> out;
     replica.start(now, out);
-    replica.say(now, 3, {1, 1, 0, 0});
+    replica.publish(now, 3, {1, 1, 0, 0});
     replica.receive(now, 2, bytes, out);
     if (size >= kHead && size <= kLongest) {
         Bytes fixed(bytes.begin(), bytes.end());
--- a/tests/replication/recorded_datagrams_test.cpp
+++ b/tests/replication/recorded_datagrams_test.cpp
@@ -69,7 +69,7 @@
     const Bytes bytes = recorded::bytes_of_hex(recorded::read(file_of(c.name)));
     EXPECT_TRUE(is_shared_state(bytes));
     const auto read = decode(bytes);
-    ASSERT_TRUE(std::holds_alternative<Datagram>(read)) << word(std::get<Fault>(read));
+    ASSERT_TRUE(std::holds_alternative<Datagram>(read)) << to_string(std::get<Fault>(read));
     const Datagram& datagram = std::get<Datagram>(read);
     EXPECT_EQ(datagram.kind, c.datagram.kind);
     EXPECT_EQ(datagram.life, c.datagram.life);
@@ -89,14 +89,14 @@
 
 // A light sidecar of a fleet of 160, whose requests end so; a line for each datagram it sends.
 std::string lines_of_short_datagrams(Outcome outcome) {
-    Settings settings = test::make_settings({test::make_class(Effect::once)});
-    settings.may_tell = true;
-    settings.siblings = 160;
-    settings.my_number = 7;
+    Settings settings = test::make_settings({test::make_class(Idempotency::not_idempotent)});
+    settings.gossip_allowed = true;
+    settings.sidecar_count = 160;
+    settings.sidecar_index = 7;
     test::Rig rig(settings);
     auto servers = test::make_servers(20);
-    for (ServerInfo& server : servers) server.id = 0x01020300 + server.id;
-    rig.list(ListKind::full, servers);
+    for (Endpoint& server : servers) server.id = 0x01020300 + server.id;
+    rig.list(EndpointUpdateKind::full, servers);
     std::string lines;
     for (int i = 0; i < 12; ++i) {
         rig.pass(700);
@@ -104,7 +104,7 @@
         if (!rig.out(id)) continue;
         rig.end(id, outcome, 100);
         for (const Action& action : rig.last)
-            if (const auto* tell = std::get_if<TellPeer>(&action)) {
+            if (const auto* tell = std::get_if<SendGossip>(&action)) {
                 lines += tell->to ? std::to_string(*tell->to) : "all";
                 lines += ' ';
                 lines += recorded::hex_of(tell->bytes);
@@ -115,13 +115,13 @@
 }
 
 TEST(RecordedShortDatagrams, TellTheSamePeersOfFailuresInFourBytes) {
-    const std::string lines = lines_of_short_datagrams(Outcome::severed);
+    const std::string lines = lines_of_short_datagrams(Outcome::connection_reset);
     EXPECT_NE(lines.find(" 010203"), std::string::npos) << "the server's number";
     recorded::expect_same("datagrams/failures-told.txt", lines);
 }
 
 TEST(RecordedShortDatagrams, TellTheSamePeersOfTheAnswersTimeInOneByte) {
-    const std::string lines = lines_of_short_datagrams(Outcome::completed);
+    const std::string lines = lines_of_short_datagrams(Outcome::success);
     EXPECT_NE(lines, "");
     recorded::expect_same("datagrams/answer-times-told.txt", lines);
 }
@@ -226,7 +226,9 @@
     constexpr MemberId kMembers = 5, kSilentOne = 3;
     ScriptedFleet fleet(kMembers);
     const auto start = [](Replica& r, Millis now, auto& out) { r.start(now, out); };
-    const auto say = [](auto... what) { return [=](Replica& r, Millis now, auto&) { r.say(now, what...); }; };
+    const auto say = [](auto... what) {
+        return [=](Replica& r, Millis now, auto&) { r.publish(now, what...); };
+    };
     std::string text;
     const auto mark = [&](const char* stage) {
         text.append(stage).append(" ").append(fleet.summary());
@@ -234,9 +236,9 @@
     };
     for (MemberId i = 0; i < kMembers; ++i) fleet.act(i, start), fleet.run_for(20);
     fleet.run_for(1500), mark("started");
-    fleet.act(0, say(ServerKey{9}, Evidence{20, 3, 70, kRemoved}));
-    fleet.act(1, say(ServerKey{9}, Evidence{30, 0, 60, 0}));
-    fleet.act(2, say(ServerKey{0xabcdef01}, Evidence{0, 5, 0, kClosed})), fleet.run_for(1500);
+    fleet.act(0, say(EndpointKey{9}, Evidence{20, 3, 70, kRemoved}));
+    fleet.act(1, say(EndpointKey{9}, Evidence{30, 0, 60, 0}));
+    fleet.act(2, say(EndpointKey{0xabcdef01}, Evidence{0, 5, 0, kClosed})), fleet.run_for(1500);
     mark("evidence");
     fleet.act(4, say(Versions{2, 0x1234, 1, 17})), fleet.run_for(1000), mark("versions");
     fleet.silent = kSilentOne, fleet.run_for(9000), mark("silent");
--- a/tests/replication/replica_test.cpp
+++ b/tests/replication/replica_test.cpp
@@ -33,9 +33,9 @@
 struct Write {
     std::uint32_t life, count;
     int what;
-    ServerKey server;
+    EndpointKey server;
     Evidence evidence;
-    Standing standing;
+    MemberState standing;
     Versions versions;
     Millis expires;
     bool firsthand;
@@ -178,14 +178,14 @@
         }
     }
     std::size_t answered = 0;
-    const ServerEvidence* on(ServerKey server) const {
-        for (const ServerEvidence& e : replica.evidence())
-            if (e.server == server) return &e;
+    const EndpointTotals* on(EndpointKey server) const {
+        for (const EndpointTotals& e : replica.evidence())
+            if (e.endpoint == server) return &e;
         return nullptr;
     }
 };
 
-EvidenceItem complaint(MemberId origin, ServerKey server, std::uint32_t count = 1) {
+EvidenceItem complaint(MemberId origin, EndpointKey server, std::uint32_t count = 1) {
     return {origin, kLife, server, count, {0, 5, 0, kRemoved}, 100};
 }
 
@@ -229,9 +229,9 @@
     one.hear(1, lies);
     one.pass(100);
     ASSERT_TRUE(one.on(5));
-    EXPECT_EQ(one.on(5)->complaints, 9u);
-    EXPECT_EQ(one.on(5)->witnesses, 1u);
-    EXPECT_EQ(one.on(5)->bad, 5u);
+    EXPECT_EQ(one.on(5)->reporters, 9u);
+    EXPECT_EQ(one.on(5)->direct_reporters, 1u);
+    EXPECT_EQ(one.on(5)->failures, 5u);
     // Those named are asked, and count once they say so themselves.
     std::set<MemberId> asked;
     for (const Outgoing& o : one.out) {
@@ -242,7 +242,7 @@
     EXPECT_GE(asked.size(), 2u);
     for (const MemberId origin : asked) one.hear(origin, {complaint(origin, 5)});
     one.pass(100);
-    EXPECT_GE(one.on(5)->witnesses, 3u);
+    EXPECT_GE(one.on(5)->direct_reporters, 3u);
 }
 
 TEST(BadPeers, WhatIsReplayedAfterItsLifeIsNoNews) {
@@ -270,18 +270,18 @@
 
 TEST(BadPeers, WhatIsSaidInItsOwnNameIsRefuted) {
     One one;
-    one.replica.say(one.now, 8, {3, 1, 0, 0});
+    one.replica.publish(one.now, 8, {3, 1, 0, 0});
     one.hear(1, {MemberItem{0, {kLife, 0, Status::dead}, 0}});
     EXPECT_EQ(one.replica.member(0).standing().incarnation, 1u);
     EXPECT_EQ(one.replica.member(0).standing().status, Status::alive);
     one.pass(2000);
     one.hear(1, {complaint(0, 5, 40)});  // it never wrote that
-    EXPECT_EQ(one.replica.member(0).standing().life, kLife + 1);
+    EXPECT_EQ(one.replica.member(0).standing().epoch, kLife + 1);
     EXPECT_EQ(one.replica.member(0).evidence().count(5), 0u);
-    EXPECT_EQ(one.replica.member(0).evidence().at(8).value.good, 3);
+    EXPECT_EQ(one.replica.member(0).evidence().at(8).value.successes, 3);
     // As often as a liar likes it must not.
     for (int i = 0; i < 50; ++i) one.hear(1, {MemberItem{0, {kLife + 5, 0, Status::dead}, 0}});
-    EXPECT_LE(one.replica.member(0).standing().life, kLife + 6);
+    EXPECT_LE(one.replica.member(0).standing().epoch, kLife + 6);
 }
 
 TEST(BadPeers, AnswersHaveABound) {
@@ -302,7 +302,7 @@
 
 TEST(Replica, SaysWhatIsWrongWithItsNumbers) {
     EXPECT_THROW(Replica(3, 3, kLife, 1), std::invalid_argument);
-    EXPECT_THROW(Replica(0, kMostMembers + 1, kLife, 1), std::invalid_argument);
+    EXPECT_THROW(Replica(0, kMaxMembers + 1, kLife, 1), std::invalid_argument);
 }
 
 // ---- Many, on a simulated network -------------------------------------------------------------------------
@@ -312,7 +312,7 @@
         for (std::size_t j = 0; j < f.size(); ++j) {
             if (!f.up(i)) continue;
             const auto& s = f.at(i).member(static_cast<MemberId>(j)).standing();
-            if (f.up(j) != (s.life > 0 && s.status != Status::dead)) return false;
+            if (f.up(j) != (s.epoch > 0 && s.status != Status::dead)) return false;
         }
     return true;
 }
@@ -357,13 +357,13 @@
                 break;
             default:
                 if (f.up(i))
-                    f.say(i, static_cast<ServerKey>(below(4)),
+                    f.say(i, static_cast<EndpointKey>(below(4)),
                           {1, static_cast<std::uint8_t>(below(9)), 0, 0});
                 if (f.up(i)) f.say(i, Versions{static_cast<std::uint32_t>(step), 1, 1, 1});
         }
     }
     for (std::size_t i = 0; i < n; ++i)
-        for (ServerKey server = 10; f.up(i) && server < 16; ++server) f.say(i, server, {2, 1, 0, 0});
+        for (EndpointKey server = 10; f.up(i) && server < 16; ++server) f.say(i, server, {2, 1, 0, 0});
     f.run_for(400);
     f.heal();
     for (std::size_t i = 0; i < n; ++i)
@@ -391,11 +391,12 @@
     EXPECT_GT(late, 10);
 }
 
-std::size_t knowing(const SimFleet& f, ServerKey server) {
+std::size_t knowing(const SimFleet& f, EndpointKey server) {
     std::size_t n = 0;
     for (std::size_t i = 0; i < f.size(); ++i)
-        n += f.up(i) && std::any_of(f.at(i).evidence().begin(), f.at(i).evidence().end(),
-                                    [&](const auto& e) { return e.server == server && e.witnesses >= 3; });
+        n += f.up(i) && std::any_of(f.at(i).evidence().begin(), f.at(i).evidence().end(), [&](const auto& e) {
+                 return e.endpoint == server && e.direct_reporters >= 3;
+             });
     return n;
 }
 
--- a/tests/replication/version_agreement_test.cpp
+++ b/tests/replication/version_agreement_test.cpp
@@ -12,17 +12,17 @@
 using ochregrade::lab::Network;
 using ochregrade::lab::SimFleet;
 
-std::vector<Place> claims(std::initializer_list<Place> all) { return all; }
+std::vector<VersionId> claims(std::initializer_list<VersionId> all) { return all; }
 
 TEST(Chase, AsksSoonAndNotBefore) {
-    Chase chase(kListPace, 1);
-    chase.look(1000, {1, 41}, claims({{1, 40}, {1, 41}}));
+    VersionFollower chase(kListPace, 1);
+    chase.observe(1000, {1, 41}, claims({{1, 40}, {1, 41}}));
     EXPECT_FALSE(chase.due());
-    chase.look(1000, {1, 41}, claims({{1, 42}}));
+    chase.observe(1000, {1, 41}, claims({{1, 42}}));
     ASSERT_TRUE(chase.due());
     EXPECT_GE(*chase.due(), 1000 + kListPace.grace);
     EXPECT_LE(*chase.due(), 1000 + kListPace.grace + kListPace.spread);
-    chase.look(1100, {1, 42}, claims({{1, 42}}));
+    chase.observe(1100, {1, 42}, claims({{1, 42}}));
     EXPECT_FALSE(chase.due()) << "it came the ordinary way";
     EXPECT_EQ(chase.calls(), 0u);
 }
@@ -30,8 +30,8 @@
 TEST(Chase, CallsOfAFleetAreSpread) {
     std::vector<double> at;
     for (std::uint64_t seed = 0; seed < 300; ++seed) {
-        Chase chase(kListPace, seed);
-        chase.look(0, {1, 1}, claims({{1, 2}}));
+        VersionFollower chase(kListPace, seed);
+        chase.observe(0, {1, 1}, claims({{1, 2}}));
         at.push_back(*chase.due());
     }
     std::sort(at.begin(), at.end());
@@ -40,21 +40,21 @@
 }
 
 TEST(Chase, AClaimWithNothingBehindItIsGivenUpAndHidesNoTrueOne) {
-    Chase chase(kSettingsPace, 3);
+    VersionFollower chase(kSettingsPace, 3);
     double now = 0;
     int calls = 0;
-    const Place forged{4'000'000'000, 1};
+    const VersionId forged{4'000'000'000, 1};
     while (now < 30000) {
-        chase.look(now, {5, 1}, claims({forged, {5, 1}}));
-        if (chase.due() && now >= *chase.due()) chase.asked(now), ++calls;
+        chase.observe(now, {5, 1}, claims({forged, {5, 1}}));
+        if (chase.due() && now >= *chase.due()) chase.requested(now), ++calls;
         now += 50;
     }
     EXPECT_LE(calls, 6);
     EXPECT_EQ(chase.unfounded(), 1u);
     EXPECT_FALSE(chase.behind());
-    chase.look(now, {5, 1}, claims({forged, {6, 2}}));
+    chase.observe(now, {5, 1}, claims({forged, {6, 2}}));
     ASSERT_TRUE(chase.behind());
-    EXPECT_EQ(*chase.claimed(), (Place{6, 2}));
+    EXPECT_EQ(*chase.claimed(), (VersionId{6, 2}));
     EXPECT_LE(*chase.due(), now + kSettingsPace.grace + kSettingsPace.spread);
 }
 
@@ -71,25 +71,26 @@
     SimFleet f(n, seed, network);
     f.start_all();
     f.run_for(6000);
-    std::vector<Chase> chases;
-    std::vector<Place> own(n, Place{1, 41});
+    std::vector<VersionFollower> chases;
+    std::vector<VersionId> own(n, VersionId{1, 41});
     std::vector<double> told(n, 1e300), cut_until(n, 0);
     for (std::size_t i = 0; i < n; ++i) {
         chases.emplace_back(kListPace, seed * 100 + i);
         f.say(i, Versions{0, 0, 1, 41});
     }
     f.run_for(3000);
-    Place newest{1, 41};
-    std::map<Place, double> first;
-    std::map<Place, std::vector<bool>> reached;  // those that could be told by others at the time
+    VersionId newest{1, 41};
+    std::map<VersionId, double> first;
+    std::map<VersionId, std::vector<bool>> reached;  // those that could be told by others at the time
     double longest = 0;
     const double end = f.now() + 12000;
     double change = f.now() + 500;
     while (f.now() < end) {
         if (f.now() >= change && f.now() < end - 4000) {
             change = f.now() + 700 + static_cast<double>(below(2500));
-            // Discovery may count anew: its number falls, and its incarnation is one more.
-            newest = below(4) == 0 ? Place{newest.major + 1, 1} : Place{newest.major, newest.minor + 1};
+            // DiscoveryClient may count anew: its number falls, and its incarnation is one more.
+            newest =
+                below(4) == 0 ? VersionId{newest.major + 1, 1} : VersionId{newest.major, newest.minor + 1};
             const std::size_t stalled = 1 + below(n / 2);
             for (std::size_t i = 0; i < n; ++i)
                 told[i] = i < stalled ? 1e300 : f.now() + static_cast<double>(below(60));
@@ -103,13 +104,13 @@
         for (std::size_t i = 0; i < n; ++i) any_cut |= f.now() < cut_until[i];
         if (!any_cut) f.heal();
         for (std::size_t i = 0; i < n; ++i) {
-            std::vector<Place> others;
+            std::vector<VersionId> others;
             for (const auto& [member, record] : f.at(i).versions())
                 others.push_back(list_place(record.value));
-            chases[i].look(f.now(), own[i], others);
+            chases[i].observe(f.now(), own[i], others);
             bool fetched = f.now() >= told[i];
             if (chasing && chases[i].due() && f.now() >= *chases[i].due())
-                chases[i].asked(f.now()), fetched = true;
+                chases[i].requested(f.now()), fetched = true;
             if (!fetched || own[i] == newest) continue;
             told[i] = 1e300;
             own[i] = newest;
--- a/tests/simulator/adapter_test.cpp
+++ b/tests/simulator/adapter_test.cpp
@@ -136,12 +136,12 @@
 TEST(Codec, SettingsArriveWhole) {
     const Site site = read_site(Message(std::string_view(start_line).substr(0, start_line.size() - 1), 1));
     EXPECT_EQ(site.settings.classes.size(), 2U);
-    EXPECT_EQ(site.settings.classes[1].effect, Effect::once);
-    EXPECT_EQ(site.settings.classes[0].aim, 400);
-    EXPECT_EQ(site.settings.my_zone, ZoneId{1});
-    EXPECT_EQ(site.settings.cold_from, 0.16);
+    EXPECT_EQ(site.settings.classes[1].idempotency, Idempotency::not_idempotent);
+    EXPECT_EQ(site.settings.classes[0].latency_objective, 400);
+    EXPECT_EQ(site.settings.local_zone, ZoneId{1});
+    EXPECT_EQ(site.settings.slow_start_least_share, 0.16);
     EXPECT_EQ(site.settings.fees.cross_zone, 0.02);
-    EXPECT_FALSE(site.settings.list_on_request);
+    EXPECT_FALSE(site.settings.polled_discovery);
     EXPECT_EQ(site.classes[1], "deposit");
 }
 
@@ -166,11 +166,11 @@
         "classes.0.on-time-ms=300 my-number=4 siblings=9 limits.may-probe=true ";
     const std::string told = line + "limits.may-tell=true";
     const Site some = read_site(Message(told, 1));
-    EXPECT_TRUE(some.settings.may_probe);
-    EXPECT_TRUE(some.settings.may_tell);
-    EXPECT_EQ(some.settings.my_number, 4U);
-    EXPECT_EQ(some.settings.siblings, 9U);
-    EXPECT_FALSE(read_site(Message(line, 1)).settings.may_tell) << "not allowed unless said";
+    EXPECT_TRUE(some.settings.probes_allowed);
+    EXPECT_TRUE(some.settings.gossip_allowed);
+    EXPECT_EQ(some.settings.sidecar_index, 4U);
+    EXPECT_EQ(some.settings.sidecar_count, 9U);
+    EXPECT_FALSE(read_site(Message(line, 1)).settings.gossip_allowed) << "not allowed unless said";
 }
 
 }  // namespace
--- a/tests/support/balancer_fixture.hpp
+++ b/tests/support/balancer_fixture.hpp
@@ -13,33 +13,34 @@
 
 namespace ochregrade::test {
 
-inline RequestClass make_class(Effect effect, DedupScope scope = DedupScope::all, Millis window = 3000) {
+inline RequestClass make_class(Idempotency effect, DedupScope scope = DedupScope::all, Millis window = 3000) {
     RequestClass c;
-    c.effect = effect;
+    c.idempotency = effect;
     c.dedup_scope = scope;
     c.dedup_window = window;
-    c.aim = 400;
+    c.latency_objective = 400;
     return c;
 }
 
-inline Settings make_settings(std::vector<RequestClass> classes = {make_class(Effect::repeatable)}) {
+inline Settings make_settings(std::vector<RequestClass> classes = {make_class(Idempotency::idempotent)}) {
     Settings s;
     s.classes = std::move(classes);
     s.max_attempts = 4;
-    s.cold_from = 0.2;
-    s.warm_within = 20000;
+    s.slow_start_least_share = 0.2;
+    s.slow_start_duration = 20000;
     return s;
 }
 
-inline std::vector<ServerInfo> make_servers(ServerId count, Millis online_since = 0) {
-    std::vector<ServerInfo> servers;
-    for (ServerId i = 1; i <= count; ++i) servers.push_back({i, i % 3, i % 2, Phase::on, online_since});
+inline std::vector<Endpoint> make_servers(EndpointId count, Millis online_since = 0) {
+    std::vector<Endpoint> servers;
+    for (EndpointId i = 1; i <= count; ++i)
+        servers.push_back({i, i % 3, i % 2, EndpointState::serving, online_since});
     return servers;
 }
 
 struct Rig {
     struct Sent {
-        ServerId server;
+        EndpointId server;
         Millis at;
         Millis until;
         bool out = true;
@@ -60,7 +61,7 @@
     Balancer balancer;
     Millis now = 100000;
     std::map<RequestId, Open> requests;
-    std::map<ServerId, ServerInfo> servers;  // as last told
+    std::map<EndpointId, Endpoint> servers;  // as last told
     std::multimap<Millis, TimerToken> timers;
     std::vector<Action> last;  // actions of the last event
     RequestId next_id = 1;
@@ -82,16 +83,16 @@
         for (const Action& a : last) watch(a);
     }
 
-    void list(ListKind kind, const std::vector<ServerInfo>& infos) {
-        if (kind != ListKind::incremental && kind != ListKind::failed)
-            for (auto& [id, s] : servers) s.phase = Phase::off;
-        for (const ServerInfo& s : infos) servers[s.id] = s;
-        give(ServerList{kind, infos});
+    void list(EndpointUpdateKind kind, const std::vector<Endpoint>& infos) {
+        if (kind != EndpointUpdateKind::incremental && kind != EndpointUpdateKind::failed)
+            for (auto& [id, s] : servers) s.state = EndpointState::gone;
+        for (const Endpoint& s : infos) servers[s.id] = s;
+        give(EndpointUpdate{kind, infos});
     }
 
     RequestId request(std::uint32_t class_index = 0, Millis time_left = 1000, bool repeat = false) {
         const RequestId id = next_id++;
-        RequestClass kind = make_class(Effect::once);
+        RequestClass kind = make_class(Idempotency::not_idempotent);
         if (class_index < settings.classes.size()) kind = settings.classes[class_index];
         requests[id] = {kind, now + time_left, {}, 0, false, false, current};
         give(RequestArrived{id, class_index, time_left, 0, repeat});
@@ -118,7 +119,7 @@
     void serve(const std::vector<RequestId>& ids, Millis after) {
         now += after;
         for (const RequestId id : ids)
-            if (out(id)) end(id, Outcome::completed, 0);
+            if (out(id)) end(id, Outcome::success, 0);
     }
 
     // Ends the last attempt of a request that is out.
@@ -134,9 +135,9 @@
         Open& r = requests.at(id);
         Sent& s = r.sent.at(attempt);
         s.out = false;
-        s.may_have_run = outcome != Outcome::saturated && outcome != Outcome::refused_connection &&
-                         outcome != Outcome::superseded;
-        if (outcome == Outcome::completed && !closed(r)) ++r.answers;
+        s.may_have_run = outcome != Outcome::overloaded && outcome != Outcome::connect_failure &&
+                         outcome != Outcome::not_sent;
+        if (outcome == Outcome::success && !closed(r)) ++r.answers;
         AttemptEnded e{id, attempt, outcome, now - s.at, closed(r)};
         give(e);
     }
@@ -156,7 +157,7 @@
                     }
             now = std::max(now, next);
             if (late.first) {
-                end_attempt(late.first, late.second, Outcome::overdue);
+                end_attempt(late.first, late.second, Outcome::timeout);
             } else if (!timers.empty() && timers.begin()->first <= now && now <= until) {
                 const TimerToken token = timers.begin()->second;
                 timers.erase(timers.begin());
@@ -172,7 +173,7 @@
         const auto& sent = requests.at(id).sent;
         return std::any_of(sent.begin(), sent.end(), [](const Sent& s) { return s.out; });
     }
-    ServerId where(RequestId id) const { return requests.at(id).sent.back().server; }
+    EndpointId where(RequestId id) const { return requests.at(id).sent.back().server; }
     std::size_t sends(RequestId id) const { return requests.at(id).sent.size(); }
     auto removals() const { return std::count(logs.begin(), logs.end(), "removed from the pool"); }
     template <class T>
@@ -182,24 +183,25 @@
     }
 
     void watch(const Action& action) {
-        if (const auto* send = std::get_if<Send>(&action)) on_send(*send);
-        if (const auto* refuse = std::get_if<Refuse>(&action)) {
+        if (const auto* send = std::get_if<SendAttempt>(&action)) on_send(*send);
+        if (const auto* refuse = std::get_if<RejectRequest>(&action)) {
             Open& r = requests.at(refuse->id);
             const Sent* first = nullptr;
             for (const Sent& s : r.sent)
                 if (s.may_have_run && !first) first = &s;
             if (first) {
-                EXPECT_TRUE(r.kind.effect == Effect::repeatable ||
-                            (r.kind.effect == Effect::by_key && r.kind.dedup_scope == DedupScope::all))
+                EXPECT_TRUE(r.kind.idempotency == Idempotency::idempotent ||
+                            (r.kind.idempotency == Idempotency::idempotent_with_key &&
+                             r.kind.dedup_scope == DedupScope::all))
                     << "rule 2: refused after a possible run";
             }
             r.refused = true;
-            advice.push_back(refuse->retry_in);
+            advice.push_back(refuse->retry_after);
             answer(r);
         }
-        if (const auto* failed = std::get_if<GiveUp>(&action)) answer(requests.at(failed->id));
+        if (const auto* failed = std::get_if<FailRequest>(&action)) answer(requests.at(failed->id));
         if (const auto* timer = std::get_if<SetTimer>(&action)) timers.emplace(timer->at, timer->token);
-        if (const auto* log = std::get_if<Log>(&action)) logs.push_back(log->text);
+        if (const auto* log = std::get_if<LogMessage>(&action)) logs.push_back(log->text);
     }
 
     void answer(Open& r) {
@@ -208,22 +210,24 @@
         ++r.answers;
     }
 
-    void on_send(const Send& send) {
+    void on_send(const SendAttempt& send) {
         Open& r = requests.at(send.id);
         EXPECT_FALSE(closed(r)) << "rule 1: sent after the final answer";
         EXPECT_LT(r.sent.size(), r.settings->max_attempts) << "too many attempts";
-        EXPECT_EQ(servers.at(send.server).phase, Phase::on) << "rule 3: sent to a draining or gone server";
-        const ServerInfo& to = servers.at(send.server);
+        EXPECT_EQ(servers.at(send.endpoint).state, EndpointState::serving)
+            << "rule 3: sent to a draining or gone server";
+        const Endpoint& to = servers.at(send.endpoint);
         const Sent* first = nullptr;
         for (const Sent& s : r.sent) {
             if (s.out) {
-                EXPECT_TRUE(r.settings->parallel_tries) << "two attempts out";
+                EXPECT_TRUE(r.settings->hedging_allowed) << "two attempts out";
             }
             if (!s.may_have_run) continue;
             if (!first) first = &s;
-            EXPECT_NE(r.kind.effect, Effect::once) << "rule 2: sent again after a possible run";
-            if (r.kind.effect != Effect::by_key) continue;
-            const ServerInfo& before = servers.at(s.server);
+            EXPECT_NE(r.kind.idempotency, Idempotency::not_idempotent)
+                << "rule 2: sent again after a possible run";
+            if (r.kind.idempotency != Idempotency::idempotent_with_key) continue;
+            const Endpoint& before = servers.at(s.server);
             if (r.kind.dedup_scope == DedupScope::zone) {
                 EXPECT_EQ(to.zone, before.zone) << "rule 2: zone";
             }
@@ -231,12 +235,13 @@
                 EXPECT_EQ(to.cell, before.cell) << "rule 2: cell";
             }
         }
-        if (first && r.kind.effect == Effect::by_key) {
+        if (first && r.kind.idempotency == Idempotency::idempotent_with_key) {
             EXPECT_LT(now, first->at + r.kind.dedup_window) << "rule 2: after the window";
-            EXPECT_LE(send.write_until, first->at + r.kind.dedup_window)
+            EXPECT_LE(send.write_before, first->at + r.kind.dedup_window)
                 << "rule 2: it may arrive after the window";
         }
-        r.sent.push_back({send.server, now, send.try_until > 0 ? send.try_until : r.deadline, true, true});
+        r.sent.push_back(
+            {send.endpoint, now, send.give_up_at > 0 ? send.give_up_at : r.deadline, true, true});
     }
 
     // Everything taken must have been answered once.
@@ -244,7 +249,7 @@
         pass(60000);
         for (const auto& [id, r] : requests)
             EXPECT_TRUE(closed(r)) << "rule 1: request " << id << " unanswered";
-        EXPECT_EQ(balancer.held().requests, 0U);
+        EXPECT_EQ(balancer.usage().requests, 0U);
     }
 };
 
--- a/tests/support/sidecar_fixture.hpp
+++ b/tests/support/sidecar_fixture.hpp
@@ -302,8 +302,8 @@
         asio::post(io_, [&] { promise.set_value(f()); });
         return promise.get_future().get();
     }
-    Sidecar::Held held() {
-        return in_loop([this] { return node_.held(); });
+    BalancerDriver::Usage usage() {
+        return in_loop([this] { return node_.usage(); });
     }
     Node& node() { return node_; }  // only from within in_loop
     void stop(std::function<void()> done) {
@@ -428,18 +428,18 @@
     rlimit before_{};
 };
 
-// An Upstream alone, on a loop that the test runs.
+// An UpstreamPool alone, on a loop that the test runs.
 struct Bench {
-    explicit Bench(Upstream::Limits limits) : upstream(io, clock, limits, handlers()) {}
-    Upstream::Handlers handlers() {
+    explicit Bench(UpstreamPool::Limits limits) : upstream(io, clock, limits, handlers()) {}
+    UpstreamPool::Handlers handlers() {
         return {[this](AttemptKey, Outcome outcome, HttpResponse* response) {
                     outcomes.push_back(outcome), io.stop();
                     if (response) bodies.push_back(response->body());
                 },
-                [](ServerId, Outcome, Millis) {},
+                [](EndpointId, Outcome, Millis) {},
                 [this](AttemptKey key, bool) { return !may_write || may_write(key); }};
     }
-    void send(ServerId server, const std::string& to, std::size_t body = 1,
+    void send(EndpointId server, const std::string& to, std::size_t body = 1,
               std::optional<Millis> write_until = {}) {
         auto request =
             std::make_shared<HttpRequest>(http::verb::post, "/deposit", 11, std::string(body, 'x'));
@@ -457,7 +457,7 @@
     std::vector<std::string> bodies;
     std::function<bool(AttemptKey)> may_write;
     RequestId last = 0;
-    Upstream upstream;
+    UpstreamPool upstream;
 };
 
 }  // namespace ochregrade::sidecar
