--- a/tests/install/install_test.cmake
+++ b/tests/install/install_test.cmake
@@ -16,7 +16,7 @@
 file(WRITE ${WORK}/app/CMakeLists.txt "
 cmake_minimum_required(VERSION 3.20)
 project(app LANGUAGES CXX)
-find_package(ochregrade 0.1 REQUIRED)
+find_package(ochregrade 0.2 REQUIRED)
 add_executable(app example.cpp)
 target_link_libraries(app PRIVATE ochregrade::balancer)
 ")
