--- a/src/control/config.hpp
+++ b/src/control/config.hpp
@@ -52,7 +52,7 @@
     std::size_t min_samples = 50;
 };
 
-// The sidecar's part in the fleet's shared state (docs/FLEET-STATE.md).
+// The sidecar's part in the fleet's shared state (docs/REPLICATION.md).
 struct ReplicationConfig {
     bool enabled = false;
     bool version_agreement = true;  // what others act on that is newer is asked for
--- a/src/fleet/gossip_transport.hpp
+++ b/src/fleet/gossip_transport.hpp
@@ -1,4 +1,5 @@
-// Datagrams between sidecars of the tier: short, and late or lost without harm.
+// UDP transport between the sidecars of a fleet: short datagrams that may be late or lost without harm. The
+// sender of a datagram is identified by its address; datagrams from other addresses are dropped.
 #pragma once
 
 #include <array>
@@ -14,29 +15,34 @@
 
 class GossipTransport : public std::enable_shared_from_this<GossipTransport> {
 public:
+    /// `from`: the sender's index among the peers. Not called after stop().
     using OnReceived = std::function<void(std::uint32_t from, std::vector<std::uint8_t> bytes)>;
-    GossipTransport(asio::io_context& io, const udp::endpoint& at,
-                    OnReceived on_received);  // throws if it can't listen
 
-    // Whom the numbers mean from here on.
-    void set_peers(std::vector<udp::endpoint> peers, std::optional<udp::endpoint> all);
-    void listen();  // once, when it is in use
-    void stop();    // nothing is heard any more
-    udp::endpoint endpoint() const { return at_; }
+    /// Throws boost::system::system_error if the address can't be bound.
+    GossipTransport(asio::io_context& io, const udp::endpoint& local, OnReceived on_received);
 
+    /// The addresses behind the indices from now on; `broadcast` reaches all peers at once.
+    void set_peers(std::vector<udp::endpoint> peers, std::optional<udp::endpoint> broadcast);
+    /// Starts receiving; to be called once.
+    void listen();
+    /// Closes the socket; pending operations keep this object alive until they end.
+    void stop();
+    udp::endpoint endpoint() const { return local_; }
+
+    /// `to`: index of a peer; none: the broadcast address. Errors count as a lost datagram.
     void send(std::optional<std::uint32_t> to, const std::vector<std::uint8_t>& bytes);
 
 private:
-    static constexpr std::size_t kLongest = 256;
+    static constexpr std::size_t kMaxDatagramBytes = 256;  // the platform's limit
 
-    const udp::endpoint at_;
+    const udp::endpoint local_;
     std::vector<udp::endpoint> peers_;
-    std::optional<udp::endpoint> all_;
+    std::optional<udp::endpoint> broadcast_;
     bool stopped_ = false;
     OnReceived on_received_;
     udp::socket socket_;
-    udp::endpoint from_;
-    std::array<std::uint8_t, kLongest + 1> bytes_{};  // one more shows what is over-long
+    udp::endpoint sender_;                                      // of the datagram in buffer_
+    std::array<std::uint8_t, kMaxDatagramBytes + 1> buffer_{};  // one byte more detects oversized datagrams
 };
 
 }  // namespace ochregrade::sidecar
--- a/src/fleet/replication_driver.cpp
+++ b/src/fleet/replication_driver.cpp
@@ -11,21 +11,25 @@
 
 namespace {
 
-constexpr double kSpeakers = 12;  // of all, that tell of a closed server
+constexpr double kWithdrawalReporters = 12;  // of the whole fleet, on average
+constexpr double kHashValues = 4294967296.0;
+constexpr std::uint64_t kGoldenRatio = 0x9e3779b97f4a7c15ULL;  // Fibonacci hashing (Knuth, TAOCP 3, 6.4)
 
 replication::Options options_of(const ReplicationConfig& config) {
-    replication::Options o;
-    o.probe_period = config.probe_period;
-    o.gossip_period = config.gossip_period;
-    o.sync_period = config.sync_period;
-    return o;
+    replication::Options options;
+    options.probe_period = config.probe_period;
+    options.gossip_period = config.gossip_period;
+    options.sync_period = config.sync_period;
+    return options;
 }
 
+std::uint32_t unix_seconds(const Clock& clock) { return static_cast<std::uint32_t>(clock.now() / 1000); }
+
 }  // namespace
 
-replication::EndpointKey endpoint_key(EndpointId server, Millis born) {
-    const auto start = static_cast<std::uint64_t>(std::max(0.0, born));
-    return server ^ static_cast<replication::EndpointKey>(start * 0x9e3779b97f4a7c15ULL >> 32);
+replication::EndpointKey endpoint_key(EndpointId endpoint, Millis started_at) {
+    const auto start = static_cast<std::uint64_t>(std::max(0.0, started_at));
+    return endpoint ^ static_cast<replication::EndpointKey>(start * kGoldenRatio >> 32);
 }
 
 ReplicationDriver::ReplicationDriver(asio::io_context& io, const Clock& clock, const Config& config,
@@ -34,11 +38,11 @@
       handlers_(std::move(handlers)),
       config_(config.replication),
       replica_(static_cast<replication::MemberId>(config.settings.sidecar_index),
-               config.settings.sidecar_count, static_cast<std::uint32_t>(clock.now() / 1000), config.seed,
+               config.settings.sidecar_count, unix_seconds(clock), config.seed,
                options_of(config.replication)),
-      timer_(io),
-      list_(replication::kListPace, config.seed ^ 1),
-      settings_(replication::kSettingsPace, config.seed ^ 2) {}
+      list_follower_(replication::kListPacing, config.seed ^ 1),
+      settings_follower_(replication::kSettingsPacing, config.seed ^ 2),
+      timer_(io) {}
 
 bool ReplicationDriver::matches(const Config& config) const {
     return config.joins_replication() && config.replication == config_ &&
@@ -47,95 +51,109 @@
 }
 
 void ReplicationDriver::start() {
-    started_ = clock_.now();
-    replica_.start(started_, out_);
-    carry_out();
+    started_at_ = clock_.now();
+    replica_.start(started_at_, outgoing_);
+    dispatch();
 }
 
 void ReplicationDriver::leave() {
-    replica_.leave(clock_.now(), out_);
-    carry_out();
+    replica_.leave(clock_.now(), outgoing_);
+    dispatch();
 }
 
 void ReplicationDriver::receive(std::uint32_t from, const std::vector<std::uint8_t>& bytes) {
     if (from >= replica_.members()) return;
-    replica_.receive(clock_.now(), static_cast<replication::MemberId>(from), bytes, out_);
-    carry_out();
+    replica_.receive(clock_.now(), static_cast<replication::MemberId>(from), bytes, outgoing_);
+    dispatch();
 }
 
-void ReplicationDriver::publish(replication::EndpointKey server, const replication::Evidence& evidence) {
-    replica_.publish(clock_.now(), server, evidence);
-    arm();
+void ReplicationDriver::publish(replication::EndpointKey endpoint, const replication::Evidence& evidence) {
+    replica_.publish(clock_.now(), endpoint, evidence);
+    arm_timer();
 }
 
-void ReplicationDriver::set_versions(const replication::Versions& versions, std::uint32_t settled) {
-    if (versions != own_) replica_.publish(clock_.now(), versions);
-    own_ = versions, settled_ = settled;
-    observe();
-    arm();
+void ReplicationDriver::report_withdrawn(replication::EndpointKey endpoint) {
+    const std::uint32_t words[] = {endpoint, replica_.self()};
+    const double draw = XXH32(words, sizeof words, 0) / kHashValues;
+    if (draw * static_cast<double>(replica_.members()) >= kWithdrawalReporters) return;
+    replication::Evidence evidence;
+    evidence.flags = replication::kWithdrawn;
+    publish(endpoint, evidence);
 }
 
-void ReplicationDriver::report_withdrawn(replication::EndpointKey server) {
-    const std::uint32_t words[] = {server, replica_.self()};
-    const double all = static_cast<double>(replica_.members());
-    if (XXH32(words, sizeof words, 0) / 4294967296.0 * all >= kSpeakers) return;
-    replication::Evidence e;
-    e.flags = replication::kClosed;
-    publish(server, e);
+// ---- Versions --------------------------------------------------------------------------------------------
+
+void ReplicationDriver::set_versions(const replication::Versions& versions, std::uint32_t settled) {
+    if (versions != own_versions_) replica_.publish(clock_.now(), versions);
+    own_versions_ = versions;
+    settled_epoch_ = settled;
+    observe_versions();
+    arm_timer();
 }
 
-void ReplicationDriver::observe() {
+void ReplicationDriver::observe_versions() {
     if (!config_.version_agreement) return;
-    std::vector<replication::VersionId> lists, settings;
+    std::vector<replication::VersionId> lists;
+    std::vector<replication::VersionId> settings;
     for (const auto& [member, record] : replica_.versions()) {
-        lists.push_back(replication::list_place(record.value));
-        settings.push_back(replication::settings_place(record.value));
+        lists.push_back(replication::list_version(record.value));
+        settings.push_back(replication::settings_version(record.value));
     }
     const Millis now = clock_.now();
-    list_.observe(now, replication::list_place(own_), lists);
-    settings_.observe(now, std::max(replication::settings_place(own_), replication::VersionId{settled_, ~0u}),
-                      settings);
+    list_follower_.observe(now, replication::list_version(own_versions_), lists);
+    const replication::VersionId settled{settled_epoch_, ~0U};
+    settings_follower_.observe(now, std::max(replication::settings_version(own_versions_), settled),
+                               settings);
 }
 
-void ReplicationDriver::follow_versions() {
+void ReplicationDriver::request_versions() {
     const Millis now = clock_.now();
-    const auto ask = [&](replication::VersionFollower& chase, const auto& handler, const char* what) {
-        if (!chase.due() || now < *chase.due()) return;
-        const replication::VersionId claimed = *chase.claimed();
-        const auto before = chase.unfounded();
-        chase.requested(now);
-        handler(claimed);
-        if (chase.unfounded() != before)
-            log_line(std::string("others claim to act on ") + what + " " + std::to_string(claimed.major) +
-                     "." + std::to_string(claimed.minor) + ", which is not to be had");
-    };
-    ask(list_, handlers_.ask_list, "list");
-    ask(settings_, handlers_.ask_settings, "settings");
-}
-
-void ReplicationDriver::carry_out() {
-    for (const replication::Outgoing& o : out_) {
-        const bool all = o.to == replication::kAll;
-        handlers_.send(all ? std::nullopt : std::optional<std::uint32_t>(o.to), o.bytes);
+    request_if_due(now, list_follower_, handlers_.ask_list, "list");
+    request_if_due(now, settings_follower_, handlers_.ask_settings, "settings");
+}
+
+void ReplicationDriver::request_if_due(Millis now, replication::VersionFollower& follower,
+                                       const std::function<void(const replication::VersionId&)>& request,
+                                       const char* subject) {
+    if (!follower.due() || now < *follower.due()) return;
+    const replication::VersionId claimed = *follower.claimed();
+    const std::uint64_t unfounded_before = follower.unfounded();
+    follower.requested(now);
+    request(claimed);
+    if (follower.unfounded() != unfounded_before)
+        log_line(std::string("others claim to act on ") + subject + " " + std::to_string(claimed.major) +
+                 "." + std::to_string(claimed.minor) + ", which is not to be had");
+}
+
+// ---- Event loop ------------------------------------------------------------------------------------------
+
+void ReplicationDriver::dispatch() {
+    for (const replication::Outgoing& datagram : outgoing_) {
+        const bool to_all = datagram.to == replication::kAll;
+        handlers_.send(to_all ? std::nullopt : std::optional<std::uint32_t>(datagram.to), datagram.bytes);
     }
-    out_.clear();
-    if (replica_.caught_up() && !said_caught_up_)
-        log_line("caught up with the fleet after " + std::to_string(std::lround(clock_.now() - started_)) +
-                 " ms: " + std::to_string(replica_.alive()) + " of " + std::to_string(replica_.members()) +
-                 " members, " + std::to_string(replica_.records()) + " records");
-    said_caught_up_ = replica_.caught_up();
+    outgoing_.clear();
+    log_catch_up();
     if (replica_.revision() != revision_) {
         revision_ = replica_.revision();
-        observe();
+        observe_versions();
         handlers_.changed();
     }
-    arm();
+    arm_timer();
 }
 
-void ReplicationDriver::arm() {
+void ReplicationDriver::log_catch_up() {
+    if (replica_.caught_up() && !caught_up_logged_)
+        log_line("caught up with the fleet after " + std::to_string(std::lround(clock_.now() - started_at_)) +
+                 " ms: " + std::to_string(replica_.alive()) + " of " + std::to_string(replica_.members()) +
+                 " members, " + std::to_string(replica_.records()) + " records");
+    caught_up_logged_ = replica_.caught_up();
+}
+
+void ReplicationDriver::arm_timer() {
     Millis due = replica_.due();
-    for (const replication::VersionFollower* chase : {&list_, &settings_})
-        if (chase->due()) due = std::min(due, *chase->due());
+    for (const replication::VersionFollower* follower : {&list_follower_, &settings_follower_})
+        if (follower->due()) due = std::min(due, *follower->due());
     if (!std::isfinite(due)) {
         timer_.cancel();
         armed_for_ = 0;
@@ -144,13 +162,16 @@
     if (due == armed_for_) return;
     armed_for_ = due;
     timer_.expires_at(clock_.point(due));
-    timer_.async_wait([this](error_code ec) {
-        if (ec) return;
-        armed_for_ = 0;
-        replica_.advance(clock_.now(), out_);
-        follow_versions();
-        carry_out();
+    timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](error_code error) {
+        if (!error && !alive.expired()) on_timer();
     });
 }
 
+void ReplicationDriver::on_timer() {
+    armed_for_ = 0;
+    replica_.advance(clock_.now(), outgoing_);
+    request_versions();
+    dispatch();
+}
+
 }  // namespace ochregrade::sidecar
--- /dev/null
+++ b/src/replication/anti_entropy.cpp
@@ -0,0 +1,187 @@
+#include "replication/anti_entropy.hpp"
+
+#define XXH_INLINE_ALL
+#include <xxhash.h>
+
+#include <algorithm>
+
+namespace ochregrade::replication {
+
+namespace {
+
+constexpr std::size_t kMaxAnswerDatagrams = 8;       // for a digest or a summary,
+constexpr std::size_t kMaxPullAnswerDatagrams = 40;  // and for a pull
+constexpr double kAnswersPerSecond = 100;            // datagrams of all answers together
+
+}  // namespace
+
+AntiEntropy::AntiEntropy(const Options& options, const MemberTable& members, DatagramSender& sender,
+                         Random& random, ReplicaCounts& counts)
+    : options_(options),
+      members_(members),
+      sender_(sender),
+      random_(random),
+      counts_(counts),
+      answer_budget_(kAnswersPerSecond, kAnswersPerSecond) {}
+
+void AntiEntropy::start(Millis now) {
+    answer_budget_.fill(now);
+    // At a random time, so that members started at the same moment do not run in step.
+    if (options_.repair) next_sync_ = now + options_.sync_period * (0.5 + random_.unit());
+}
+
+void AntiEntropy::advance(Millis now, std::vector<Outgoing>& out) {
+    if (now < next_sync_) return;
+    next_sync_ = now + options_.sync_period * (0.75 + 0.5 * random_.unit());
+    send_digest(out);
+}
+
+void AntiEntropy::send_digest(std::vector<Outgoing>& out) {
+    for (const MemberId to : members_.random_others(random_, 1, MemberTable::Preference::alive_only)) {
+        Datagram digest = sender_.make(Kind::digest);
+        add_digest(digest);
+        ++counts_.syncs;
+        sender_.send(to, std::move(digest), out, DatagramSender::Updates::none);
+    }
+}
+
+// ---- Hashes ----------------------------------------------------------------------------------------------
+
+AntiEntropy::RangeHashes AntiEntropy::range_hashes() const {
+    RangeHashes hashes{};
+    for (std::size_t i = 0; i < members_.size(); ++i) {
+        const std::uint32_t fingerprint = members_.at(static_cast<MemberId>(i)).fingerprint();
+        const std::uint32_t words[] = {static_cast<std::uint32_t>(i), fingerprint};
+        if (fingerprint != 0) hashes[range_of(i)] += XXH32(words, sizeof words, 0);
+    }
+    return hashes;
+}
+
+void AntiEntropy::add_digest(Datagram& datagram) const {
+    const RangeHashes hashes = range_hashes();
+    for (std::size_t range = 0; range < hashes.size(); ++range)
+        datagram.add(RangeItem{static_cast<std::uint8_t>(range), hashes[range]});
+}
+
+std::uint32_t AntiEntropy::fingerprint() const {
+    std::uint32_t sum = 0;
+    for (const std::uint32_t hash : range_hashes()) sum = sum * 31 + hash;
+    return sum;
+}
+
+std::vector<std::uint8_t> AntiEntropy::differing_ranges(const Datagram& digest) const {
+    const RangeHashes own = range_hashes();
+    std::vector<std::uint8_t> ranges;
+    for (const Item& item : digest.items) {
+        const auto* range = std::get_if<RangeItem>(&item);
+        if (range && range->hash != own[range->range]) ranges.push_back(range->range);
+    }
+    std::sort(ranges.begin(), ranges.end());
+    ranges.erase(std::unique(ranges.begin(), ranges.end()), ranges.end());
+    return ranges;
+}
+
+// ---- Answers ---------------------------------------------------------------------------------------------
+
+// Requests are cheap to send, so all answers together are limited.
+bool AntiEntropy::may_answer(Millis now) {
+    if (answer_budget_.take(now)) return true;
+    ++counts_.unanswered;
+    return false;
+}
+
+void AntiEntropy::answer_digest(Millis now, MemberId from, const Datagram& digest,
+                                std::vector<Outgoing>& out) {
+    std::vector<std::uint8_t> ranges = differing_ranges(digest);
+    // In random order: the same ranges first every time would never reach the others.
+    for (std::size_t i = ranges.size(); i > 1; --i) std::swap(ranges[i - 1], ranges[random_.below(i)]);
+    Datagram summary = sender_.make(Kind::summary);
+    std::size_t sent = 0;
+    for (const std::uint8_t range : ranges)
+        for (std::size_t i = 0; i < members_.size(); ++i) {
+            if (range_of(i) != range) continue;
+            const auto id = static_cast<MemberId>(i);
+            const FingerprintItem item{id, members_.at(id).fingerprint()};
+            if (summary.add(item)) continue;
+            if (++sent >= kMaxAnswerDatagrams || !may_answer(now)) return;
+            sender_.send(from, std::move(summary), out, DatagramSender::Updates::none);
+            summary = sender_.make(Kind::summary);
+            summary.add(item);
+        }
+    if (!summary.items.empty() && may_answer(now))
+        sender_.send(from, std::move(summary), out, DatagramSender::Updates::none);
+}
+
+void AntiEntropy::answer_summary(Millis now, MemberId from, const Datagram& summary,
+                                 std::vector<Outgoing>& out) {
+    std::vector<MemberId> members;
+    std::vector<Item> items;  // what this member wants in return, then the states
+    for (const Item& item : summary.items) {
+        if (const auto* theirs = std::get_if<FingerprintItem>(&item)) {
+            if (!members_.contains(theirs->member) ||
+                members_.at(theirs->member).fingerprint() == theirs->fingerprint)
+                continue;
+            members.push_back(theirs->member);
+            if (theirs->fingerprint != 0) items.emplace_back(WantItem{theirs->member});
+        }
+        if (const auto* want = std::get_if<WantItem>(&item))
+            if (members_.contains(want->member)) members.push_back(want->member);
+    }
+    if (members.empty()) return;
+    // Where something differed, more may: the next digest goes out sooner.
+    next_sync_ = std::min(next_sync_, now + options_.sync_period / 4);
+    // As a summary only if something is wanted in return; wants are answered by gossip, which ends the
+    // exchange.
+    const bool wants_nothing = items.empty();
+    Datagram last = sender_.make(wants_nothing ? Kind::gossip : Kind::summary);
+    last.token = wants_nothing ? 1 : 0;
+    append_states(items, members);
+    send_states(now, from, items, last, out);
+}
+
+void AntiEntropy::answer_pull(Millis now, MemberId from, const Datagram& pull, std::vector<Outgoing>& out) {
+    const std::vector<std::uint8_t> ranges = differing_ranges(pull);
+    std::vector<MemberId> members;
+    for (std::size_t i = 0; i < members_.size(); ++i)
+        if (std::binary_search(ranges.begin(), ranges.end(), static_cast<std::uint8_t>(range_of(i))))
+            members.push_back(static_cast<MemberId>(i));
+    // From a random member on: where the limit cuts one answer short, another member's has the rest.
+    if (!members.empty()) {
+        const auto first = static_cast<std::ptrdiff_t>(random_.below(members.size()));
+        std::rotate(members.begin(), members.begin() + first, members.end());
+    }
+    Datagram last = sender_.make(Kind::gossip);
+    last.token = pull.token;
+    last.subject = 1;
+    std::vector<Item> items;
+    append_states(items, members);
+    send_states(now, from, items, last, out);
+}
+
+void AntiEntropy::append_states(std::vector<Item>& items, const std::vector<MemberId>& members) const {
+    for (const MemberId id : members)
+        for (Item& item : members_.items_of(id)) items.push_back(std::move(item));
+}
+
+// In as many datagrams as the items take, up to the limits. `last` is the header of each; its subject is set
+// in the last one alone.
+void AntiEntropy::send_states(Millis now, MemberId to, const std::vector<Item>& items, const Datagram& last,
+                              std::vector<Outgoing>& out) {
+    const std::size_t max_datagrams = last.subject != 0 ? kMaxPullAnswerDatagrams : kMaxAnswerDatagrams;
+    Datagram header = last;
+    header.subject = 0;
+    Datagram datagram = header;
+    std::size_t sent = 0;
+    for (const Item& item : items) {
+        if (datagram.add(item)) continue;
+        if (++sent >= max_datagrams || !may_answer(now)) break;
+        sender_.send(to, std::move(datagram), out, DatagramSender::Updates::none);
+        datagram = header;
+        datagram.add(item);
+    }
+    datagram.subject = last.subject;
+    if ((!datagram.items.empty() || datagram.subject != 0) && may_answer(now))
+        sender_.send(to, std::move(datagram), out, DatagramSender::Updates::none);
+}
+
+}  // namespace ochregrade::replication
--- /dev/null
+++ b/src/replication/anti_entropy.hpp
@@ -0,0 +1,57 @@
+// Anti-entropy: periodically sends a digest to another member, so that two copies find and repair what
+// differs. The exchange narrows down in steps: a hash for each range of members (digest), a fingerprint for
+// each member of the ranges that differ (summary), then the differing states. Source: the hash trees of
+// Dynamo (DeCandia et al. 2007), with two levels.
+#pragma once
+
+#include <array>
+#include <vector>
+
+#include "replication/datagram_sender.hpp"
+#include "replication/token_bucket.hpp"
+
+namespace ochregrade::replication {
+
+class AntiEntropy {
+public:
+    AntiEntropy(const Options& options, const MemberTable& members, DatagramSender& sender, Random& random,
+                ReplicaCounts& counts);
+
+    void start(Millis now);
+    void stop() { next_sync_ = kNever; }
+    Millis due() const { return next_sync_; }
+    void advance(Millis now, std::vector<Outgoing>& out);
+
+    /// Adds a hash for each range of members.
+    void add_digest(Datagram& datagram) const;
+    /// Equal where two copies agree.
+    std::uint32_t fingerprint() const;
+    /// Whether the rate limit of answers admits one more; if not, that is counted.
+    bool may_answer(Millis now);
+
+    void answer_digest(Millis now, MemberId from, const Datagram& digest, std::vector<Outgoing>& out);
+    void answer_summary(Millis now, MemberId from, const Datagram& summary, std::vector<Outgoing>& out);
+    /// Answers a member that is catching up; the last datagram is marked by its subject.
+    void answer_pull(Millis now, MemberId from, const Datagram& pull, std::vector<Outgoing>& out);
+
+private:
+    using RangeHashes = std::array<std::uint32_t, kDigestRanges>;
+
+    std::size_t range_of(std::size_t member) const { return member * kDigestRanges / members_.size(); }
+    RangeHashes range_hashes() const;
+    std::vector<std::uint8_t> differing_ranges(const Datagram& digest) const;
+    void send_digest(std::vector<Outgoing>& out);
+    void send_states(Millis now, MemberId to, const std::vector<Item>& items, const Datagram& last,
+                     std::vector<Outgoing>& out);
+    void append_states(std::vector<Item>& items, const std::vector<MemberId>& members) const;
+
+    const Options& options_;
+    const MemberTable& members_;
+    DatagramSender& sender_;
+    Random& random_;
+    ReplicaCounts& counts_;
+    Millis next_sync_ = kNever;
+    TokenBucket answer_budget_;
+};
+
+}  // namespace ochregrade::replication
--- /dev/null
+++ b/src/replication/broadcaster.cpp
@@ -0,0 +1,56 @@
+#include "replication/broadcaster.hpp"
+
+#include <algorithm>
+
+namespace ochregrade::replication {
+
+namespace {
+
+constexpr Millis kCollectTime = 20;  // records published within this share a datagram
+constexpr double kMaxBurst = 3;      // broadcasts
+
+}  // namespace
+
+Broadcaster::Broadcaster(const MemberTable& members, PendingUpdates& updates, DatagramSender& sender,
+                         const Options& options)
+    : members_(members),
+      updates_(updates),
+      sender_(sender),
+      budget_(options.broadcasts_per_second / static_cast<double>(members.size()), kMaxBurst) {}
+
+bool Broadcaster::admit(Millis now) {
+    if (due_ != kNever) return true;
+    if (!budget_.take(now)) return false;
+    due_ = now + kCollectTime;
+    return true;
+}
+
+bool Broadcaster::add_evidence(Millis now, EndpointKey endpoint) {
+    if (!admit(now)) return false;
+    if (std::find(evidence_.begin(), evidence_.end(), endpoint) == evidence_.end())
+        evidence_.push_back(endpoint);
+    return true;
+}
+
+bool Broadcaster::add_versions(Millis now) {
+    versions_ = admit(now);
+    return versions_;
+}
+
+void Broadcaster::send(Millis now, std::vector<Outgoing>& out) {
+    due_ = kNever;
+    const MemberId self = members_.self();
+    Datagram datagram = sender_.make(Kind::broadcast);
+    if (versions_)
+        if (const auto item = members_.item(UpdateKey::versions(self))) datagram.add(*item);
+    versions_ = false;
+    for (const EndpointKey endpoint : evidence_) {
+        const UpdateKey key = UpdateKey::evidence(self, endpoint);
+        const auto item = members_.item(key);
+        if (item && !datagram.add(*item)) updates_.add(now, key);
+    }
+    evidence_.clear();
+    if (!datagram.items.empty()) sender_.send_to_all(datagram, out);
+}
+
+}  // namespace ochregrade::replication
--- /dev/null
+++ b/src/replication/catch_up.cpp
@@ -0,0 +1,68 @@
+#include "replication/catch_up.hpp"
+
+#include <algorithm>
+
+namespace ochregrade::replication {
+
+namespace {
+
+constexpr std::size_t kPulledMembers = 3;  // at a time
+constexpr std::size_t kAnswersNeeded = 2;  // from different members
+constexpr Millis kRetryInterval = 250;     // up to half as much again, drawn
+constexpr int kMaxPulls = 12;
+
+}  // namespace
+
+void CatchUp::start(Millis now, std::vector<Outgoing>& out) {
+    if (members_.size() == 1 || !options_.repair) {
+        finished_ = true;
+        return;
+    }
+    pull(now, out);
+}
+
+void CatchUp::restart(Millis now, std::vector<Outgoing>& out) {
+    if (!options_.repair) return;
+    pulls_ = 0;
+    finished_ = members_.size() == 1;
+    answered_.clear();
+    pull(now, out);
+}
+
+void CatchUp::resume(Millis now) {
+    if (finished_ || next_pull_ != kNever || !options_.repair) return;
+    pulls_ = 0;
+    next_pull_ = now;
+}
+
+void CatchUp::advance(Millis now, std::vector<Outgoing>& out) {
+    if (now >= next_pull_) pull(now, out);
+}
+
+void CatchUp::answered(MemberId from) {
+    if (next_pull_ == kNever) return;
+    if (std::find(answered_.begin(), answered_.end(), from) != answered_.end()) return;
+    answered_.push_back(from);
+    if (answered_.size() < std::min(kAnswersNeeded, members_.size() - 1)) return;
+    finished_ = true;
+    next_pull_ = kNever;
+}
+
+void CatchUp::pull(Millis now, std::vector<Outgoing>& out) {
+    if (finished_ || pulls_ >= kMaxPulls) {
+        next_pull_ = kNever;
+        return;
+    }
+    ++pulls_;
+    next_pull_ = now + kRetryInterval * (1 + 0.5 * random_.unit());
+    const auto pulled = members_.random_others(random_, kPulledMembers, MemberTable::Preference::alive_first);
+    for (const MemberId to : pulled) {
+        Datagram datagram = sender_.make(Kind::pull);
+        datagram.token = sender_.next_token();
+        if (datagram.token == 0) datagram.token = sender_.next_token();  // 0 is no answer's token
+        anti_entropy_.add_digest(datagram);
+        sender_.send(to, std::move(datagram), out, DatagramSender::Updates::none);
+    }
+}
+
+}  // namespace ochregrade::replication
--- /dev/null
+++ b/src/replication/catch_up.hpp
@@ -0,0 +1,48 @@
+// Catch-up of a member that has just started or was paused: pulls the state of a few others, again and again
+// until enough of them have answered.
+#pragma once
+
+#include <vector>
+
+#include "replication/anti_entropy.hpp"
+
+namespace ochregrade::replication {
+
+class CatchUp {
+public:
+    CatchUp(const Options& options, const MemberTable& members, const AntiEntropy& anti_entropy,
+            DatagramSender& sender, Random& random)
+        : options_(options),
+          members_(members),
+          anti_entropy_(anti_entropy),
+          sender_(sender),
+          random_(random) {}
+
+    void start(Millis now, std::vector<Outgoing>& out);
+    /// Starts over, since updates may have been missed.
+    void restart(Millis now, std::vector<Outgoing>& out);
+    /// Tries again if it had given up: another member was heard.
+    void resume(Millis now);
+    void stop() { next_pull_ = kNever; }
+    Millis due() const { return next_pull_; }
+    void advance(Millis now, std::vector<Outgoing>& out);
+
+    /// The member's answer to a pull is complete.
+    void answered(MemberId from);
+    bool finished() const { return finished_; }
+
+private:
+    void pull(Millis now, std::vector<Outgoing>& out);
+
+    const Options& options_;
+    const MemberTable& members_;
+    const AntiEntropy& anti_entropy_;
+    DatagramSender& sender_;
+    Random& random_;
+    Millis next_pull_ = kNever;
+    int pulls_ = 0;
+    std::vector<MemberId> answered_;
+    bool finished_ = false;
+};
+
+}  // namespace ochregrade::replication
--- a/src/replication/codec.cpp
+++ b/src/replication/codec.cpp
@@ -9,22 +9,22 @@
 
 namespace {
 
-// One description of each item's fields, for sizes, writing and reading alike.
+// The fields of each item in wire order: the single description used for sizes, encoding and decoding.
 template <class Visit>
 void fields(MemberItem& i, Visit visit) {
-    visit(i.member), visit(i.standing.epoch), visit(i.standing.incarnation), visit(i.standing.status);
+    visit(i.member), visit(i.state.epoch), visit(i.state.incarnation), visit(i.state.status);
     visit(i.floor);
 }
 template <class Visit>
 void fields(EvidenceItem& i, Visit visit) {
-    visit(i.origin), visit(i.life), visit(i.server), visit(i.count);
+    visit(i.origin), visit(i.epoch), visit(i.endpoint), visit(i.sequence);
     visit(i.evidence.successes), visit(i.evidence.failures), visit(i.evidence.latency_ratio),
         visit(i.evidence.flags);
-    visit(i.left);
+    visit(i.remaining);
 }
 template <class Visit>
 void fields(VersionsItem& i, Visit visit) {
-    visit(i.origin), visit(i.life), visit(i.count), visit(i.versions.epoch), visit(i.versions.hash);
+    visit(i.origin), visit(i.epoch), visit(i.sequence), visit(i.versions.epoch), visit(i.versions.hash);
     visit(i.versions.list_incarnation), visit(i.versions.list_seq);
 }
 template <class Visit>
@@ -46,7 +46,7 @@
         bytes.push_back(static_cast<std::uint8_t>(static_cast<std::uint64_t>(value) >> (8 * shift)));
 }
 
-// From the front of `rest`; the caller has looked that there are enough.
+// Reads a number from the front of `rest`; the caller has checked that there are enough bytes.
 template <class Number>
 void take(std::span<const std::uint8_t>& rest, Number& value) {
     std::uint64_t read = 0;
@@ -69,16 +69,16 @@
 }
 
 std::uint32_t checksum(std::span<const std::uint8_t> bytes) {
-    std::array<std::uint8_t, kLongest> all;
+    std::array<std::uint8_t, kMaxDatagramBytes> all;
     std::size_t n = 0;
     for (std::size_t i = 0; i < bytes.size(); ++i)
         if (i < 2 || i >= 6) all[n++] = bytes[i];
-    return XXH32(all.data(), n, kFormat);
+    return XXH32(all.data(), n, kFormatByte);
 }
 
-bool sound(const Item& item) {
-    if (const auto* m = std::get_if<MemberItem>(&item)) return m->standing.status <= Status::dead;
-    if (const auto* r = std::get_if<RangeItem>(&item)) return r->range < kRanges;
+bool is_valid(const Item& item) {
+    if (const auto* m = std::get_if<MemberItem>(&item)) return m->state.status <= Status::dead;
+    if (const auto* r = std::get_if<RangeItem>(&item)) return r->range < kDigestRanges;
     return true;
 }
 
@@ -94,24 +94,24 @@
 }
 
 std::size_t Datagram::size() const {
-    std::size_t size = kHead;
+    std::size_t size = kHeaderBytes;
     for (const Item& item : items) size += size_of(item);
     return size;
 }
 
 bool Datagram::add(const Item& item) {
-    if (size() + size_of(item) > kLongest) return false;
+    if (size() + size_of(item) > kMaxDatagramBytes) return false;
     items.push_back(item);
     return true;
 }
 
 Bytes encode(const Datagram& d) {
     Bytes bytes;
-    bytes.reserve(kLongest);
-    put(bytes, kFormat), put(bytes, d.kind), put(bytes, std::uint32_t{0});
-    put(bytes, d.life), put(bytes, d.incarnation), put(bytes, d.token), put(bytes, d.subject);
+    bytes.reserve(kMaxDatagramBytes);
+    put(bytes, kFormatByte), put(bytes, d.kind), put(bytes, std::uint32_t{0});
+    put(bytes, d.epoch), put(bytes, d.incarnation), put(bytes, d.token), put(bytes, d.subject);
     for (Item item : d.items) {
-        if (bytes.size() + size_of(item) > kLongest) break;
+        if (bytes.size() + size_of(item) > kMaxDatagramBytes) break;
         put(bytes, static_cast<std::uint8_t>(item.index() + 1));
         std::visit([&](auto& i) { fields(i, [&](const auto& field) { put(bytes, field); }); }, item);
     }
@@ -124,43 +124,43 @@
     for (std::size_t i = 0; i < 4; ++i) bytes[2 + i] = static_cast<std::uint8_t>(sum >> (24 - 8 * i));
 }
 
-std::variant<Datagram, Fault> decode(std::span<const std::uint8_t> bytes) {
-    if (bytes.size() > kLongest) return Fault::too_long;
-    if (bytes.size() < kHead) return Fault::too_short;
-    if (bytes[0] != kFormat) return Fault::format;
+std::variant<Datagram, DecodeError> decode(std::span<const std::uint8_t> bytes) {
+    if (bytes.size() > kMaxDatagramBytes) return DecodeError::too_long;
+    if (bytes.size() < kHeaderBytes) return DecodeError::too_short;
+    if (bytes[0] != kFormatByte) return DecodeError::format;
     std::span<const std::uint8_t> rest = bytes.subspan(1);
     Datagram d;
     std::uint32_t sum = 0;
     take(rest, d.kind), take(rest, sum);
-    take(rest, d.life), take(rest, d.incarnation), take(rest, d.token), take(rest, d.subject);
-    if (sum != checksum(bytes)) return Fault::checksum;
-    if (d.kind < Kind::ping || d.kind > Kind::shout) return Fault::kind;
+    take(rest, d.epoch), take(rest, d.incarnation), take(rest, d.token), take(rest, d.subject);
+    if (sum != checksum(bytes)) return DecodeError::checksum;
+    if (d.kind < Kind::ping || d.kind > Kind::broadcast) return DecodeError::kind;
     while (!rest.empty()) {
         const std::size_t tag = rest[0];
-        if (tag < 1 || tag > std::variant_size_v<Item>) return Fault::item;
+        if (tag < 1 || tag > std::variant_size_v<Item>) return DecodeError::item;
         Item item = empty_item(tag - 1);
-        if (rest.size() < size_of(item)) return Fault::item;
+        if (rest.size() < size_of(item)) return DecodeError::item;
         rest = rest.subspan(1);
         std::visit([&](auto& i) { fields(i, [&](auto& field) { take(rest, field); }); }, item);
-        if (!sound(item)) return Fault::item;
+        if (!is_valid(item)) return DecodeError::item;
         d.items.push_back(item);
     }
     return d;
 }
 
-const char* to_string(Fault fault) {
-    switch (fault) {
-        case Fault::too_short:
+const char* to_string(DecodeError error) {
+    switch (error) {
+        case DecodeError::too_short:
             return "too short";
-        case Fault::too_long:
+        case DecodeError::too_long:
             return "too long";
-        case Fault::format:
+        case DecodeError::format:
             return "another format";
-        case Fault::checksum:
+        case DecodeError::checksum:
             return "wrong checksum";
-        case Fault::kind:
+        case DecodeError::kind:
             return "unknown kind";
-        case Fault::item:
+        case DecodeError::item:
             break;
     }
     return "bad item";
--- a/src/replication/codec.hpp
+++ b/src/replication/codec.hpp
@@ -1,14 +1,14 @@
-// The datagrams of the shared state: at most 256 bytes, the format's version in the first byte.
+// Encoding and decoding of replication datagrams: at most 256 bytes, the format version in the first byte.
 //
-//   byte 0       0xF1, the format's version 1
-//   byte 1       what it is (Kind)
-//   bytes 2-5    XXH32 of all the others
-//   bytes 6-13   the sender's life and incarnation
-//   bytes 14-17  a token to answer with, and a subject (a member's number)
-//   then items, each a tag and a body of that tag's length
+//   byte 0       0xF1: format version 1
+//   byte 1       Kind
+//   bytes 2-5    XXH32 of all other bytes
+//   bytes 6-13   the sender's epoch and incarnation
+//   bytes 14-17  token (echoed in the answer) and subject (a member id)
+//   then items, each a tag byte and a body whose length depends on the tag alone
 //
-// All numbers are big-endian. The datagrams of one and four bytes that sidecars without a shared state send
-// are told apart by their length, so both kinds may be on the network at once.
+// All integers are big-endian. Gossip messages of one and four bytes, sent by sidecars without replication,
+// are recognised by their length, so both may be on the network at the same time.
 #pragma once
 
 #include <cstdint>
@@ -23,53 +23,60 @@
 
 using Bytes = std::vector<std::uint8_t>;
 
-constexpr std::size_t kLongest = 256;   // bytes; the platform's bound
-constexpr std::uint8_t kFormat = 0xF1;  // the first byte
-constexpr std::size_t kHead = 18;       // bytes
-constexpr std::size_t kRanges = 16;     // of members' numbers, for a digest
+constexpr std::size_t kMaxDatagramBytes = 256;  // the platform's limit
+constexpr std::uint8_t kFormatByte = 0xF1;
+constexpr std::size_t kHeaderBytes = 18;
+constexpr std::size_t kDigestRanges = 16;  // equal ranges of member ids, one hash each
 
 enum class Kind : std::uint8_t {
-    ping = 1,     // answer with an ack of the same token
-    probe = 2,    // ping the subject for me, and pass its ack on
-    ack = 3,      // the subject has answered the ping of that token
-    gossip = 4,   // items only
-    digest = 5,   // a hash of each range: say where yours differs
-    pull = 6,     // the same, from one who knows little: send what you have
-    summary = 7,  // a fingerprint of each member in a range that differed
-    shout = 8     // items only, to all: nobody need pass them on
+    ping = 1,      // answered by an ack with the same token
+    probe = 2,     // SWIM's ping-req: ping the subject and forward its ack
+    ack = 3,       // the subject has answered the ping with this token
+    gossip = 4,    // items only
+    digest = 5,    // a hash per range; answered by a summary of the ranges that differ
+    pull = 6,      // a digest from a member that is catching up; answered by all differing state
+    summary = 7,   // fingerprints of the members in ranges that differ
+    broadcast = 8  // items only, to all members: receivers do not disseminate them further
 };
 
+/// Membership of one sidecar as the sender knows it.
 struct MemberItem {
     MemberId member = 0;
-    MemberState standing{};
+    MemberState state{};
     std::uint32_t floor = 0;
     bool operator==(const MemberItem&) const = default;
 };
+constexpr Millis kLifetimeUnit = 100;  // of EvidenceItem::remaining
+/// One origin's evidence on one endpoint.
 struct EvidenceItem {
     MemberId origin = 0;
-    std::uint32_t life = 0;
-    EndpointKey server = 0;
-    std::uint32_t count = 0;
+    std::uint32_t epoch = 0;
+    EndpointKey endpoint = 0;
+    std::uint32_t sequence = 0;
     Evidence evidence{};
-    std::uint8_t left = 0;  // of its life, in tenths of a second
+    std::uint8_t remaining = 0;  // lifetime left, in units of kLifetimeUnit
     bool operator==(const EvidenceItem&) const = default;
 };
+/// The versions one origin acts on.
 struct VersionsItem {
     MemberId origin = 0;
-    std::uint32_t life = 0;
-    std::uint32_t count = 0;
+    std::uint32_t epoch = 0;
+    std::uint32_t sequence = 0;
     Versions versions{};
     bool operator==(const VersionsItem&) const = default;
 };
+/// Fingerprint of all state held of a member; 0: none.
 struct FingerprintItem {
     MemberId member = 0;
     std::uint32_t fingerprint = 0;
     bool operator==(const FingerprintItem&) const = default;
 };
-struct WantItem {  // send what you have of it
+/// Asks for all state held of the member.
+struct WantItem {
     MemberId member = 0;
     bool operator==(const WantItem&) const = default;
 };
+/// Hash of the fingerprints of a range of members.
 struct RangeItem {
     std::uint8_t range = 0;
     std::uint32_t hash = 0;
@@ -77,38 +84,41 @@
 };
 using Item = std::variant<MemberItem, EvidenceItem, VersionsItem, FingerprintItem, WantItem, RangeItem>;
 
-// Bytes on the wire, the tag included.
+/// Bytes on the wire, the tag included.
 std::size_t size_of(const Item& item);
 
 struct Datagram {
     Kind kind = Kind::gossip;
-    std::uint32_t life = 0, incarnation = 0;  // the sender's
+    std::uint32_t epoch = 0, incarnation = 0;  // the sender's
     std::uint16_t token = 0;
     MemberId subject = 0;
     std::vector<Item> items{};
     bool operator==(const Datagram&) const = default;
-    // Adds the item where it still fits.
+    /// Adds the item if it still fits; returns whether it did.
     bool add(const Item& item);
     std::size_t size() const;
 };
 
-// Of what add() has let in: never more than kLongest bytes.
+/// At most kMaxDatagramBytes; items that do not fit are left out (Datagram::add() admits none of those).
 Bytes encode(const Datagram& datagram);
 
-// Writes the checksum that belongs to these bytes, kHead at least and kLongest at most.
+/// Writes the checksum into an encoded datagram of kHeaderBytes to kMaxDatagramBytes bytes.
 void fix_checksum(std::span<std::uint8_t> bytes);
 
-// Why a datagram is none of ours, or none that can be read.
-enum class Fault { too_short, too_long, format, checksum, kind, item };
-constexpr int kFaults = 6;
-const char* to_string(Fault fault);
+/// Why a datagram was not decoded.
+enum class DecodeError { too_short, too_long, format, checksum, kind, item };
+constexpr int kDecodeErrors = 6;
+const char* to_string(DecodeError error);
+// The names the operator endpoint still uses for these two.
+using Fault = DecodeError;
+constexpr int kFaults = kDecodeErrors;
 
-// Reads no byte beyond those given. What is decoded encodes to the same bytes again.
-std::variant<Datagram, Fault> decode(std::span<const std::uint8_t> bytes);
+/// Reads no byte beyond those given. A decoded datagram encodes to the same bytes again.
+std::variant<Datagram, DecodeError> decode(std::span<const std::uint8_t> bytes);
 
-// Whether these bytes claim to be of the shared state.
+/// Whether the first byte and the length are those of a replication datagram.
 inline bool is_shared_state(std::span<const std::uint8_t> bytes) {
-    return bytes.size() >= kHead && bytes[0] == kFormat;
+    return bytes.size() >= kHeaderBytes && bytes[0] == kFormatByte;
 }
 
 }  // namespace ochregrade::replication
--- /dev/null
+++ b/src/replication/datagram_sender.hpp
@@ -0,0 +1,32 @@
+// Puts datagrams together and hands them to the caller: fills in the header, attaches what the receiver
+// should know, and counts.
+#pragma once
+
+#include "replication/pending_updates.hpp"
+
+namespace ochregrade::replication {
+
+class DatagramSender {
+public:
+    enum class Updates { attach, none };
+
+    DatagramSender(const MemberTable& members, PendingUpdates& updates, ReplicaCounts& counts)
+        : members_(members), updates_(updates), counts_(counts) {}
+
+    /// A datagram with this member's epoch and incarnation.
+    Datagram make(Kind kind) const;
+    /// Numbers requests of any kind; wraps around.
+    std::uint16_t next_token() { return next_token_++; }
+
+    /// Sends to one other member; to any other id nothing is sent.
+    void send(MemberId to, Datagram datagram, std::vector<Outgoing>& out, Updates updates = Updates::attach);
+    void send_to_all(const Datagram& datagram, std::vector<Outgoing>& out);
+
+private:
+    const MemberTable& members_;
+    PendingUpdates& updates_;
+    ReplicaCounts& counts_;
+    std::uint16_t next_token_ = 1;
+};
+
+}  // namespace ochregrade::replication
--- /dev/null
+++ b/src/replication/evidence_view.cpp
@@ -0,0 +1,143 @@
+#include "replication/evidence_view.hpp"
+
+#include <algorithm>
+#include <set>
+
+namespace ochregrade::replication {
+
+namespace {
+
+constexpr Millis kRebuildPeriod = 50;
+constexpr std::size_t kMaxConfirmations = 8;  // requests at a time
+constexpr Millis kConfirmPeriod = 500;        // between requests to the same origin
+constexpr double kLatencyRatioUnit = 64.0;    // of Evidence::latency_ratio
+
+bool reports_failure(const Evidence& evidence) {
+    return evidence.failures != 0 || (evidence.flags & kEjected);
+}
+
+}  // namespace
+
+struct EvidenceView::Sum {
+    EndpointTotals totals;
+    std::uint32_t latency_ratios = 0;
+    std::vector<MemberId> indirect;  // origins whose report of a failure was passed on by another member
+
+    void add(MemberId origin, const Record<Evidence>& record) {
+        const Evidence& evidence = record.value;
+        totals.successes += evidence.successes;
+        totals.withdrawals += record.firsthand && (evidence.flags & kWithdrawn) != 0;
+        totals.recoveries += (evidence.flags & kRecovered) != 0;
+        if (evidence.latency_ratio > 0 && record.firsthand) {
+            latency_ratios += evidence.latency_ratio;
+            ++totals.latency_reporters;
+        }
+        if (!reports_failure(evidence)) return;
+        ++totals.reporters;
+        if (record.firsthand) {
+            ++totals.direct_reporters;
+            totals.failures += evidence.failures;
+        } else {
+            indirect.push_back(origin);
+        }
+    }
+};
+
+void EvidenceView::mark_members_changed() {
+    outdated_ = true;
+    members_changed_ = true;
+}
+
+Millis EvidenceView::due() const { return outdated_ ? rebuilt_at_ + kRebuildPeriod : kNever; }
+
+void EvidenceView::refresh(Millis now, std::vector<Outgoing>& out) {
+    if (outdated_ && now >= rebuilt_at_ + kRebuildPeriod) rebuild(now, out);
+}
+
+std::uint32_t EvidenceView::reporters(EndpointKey endpoint) const {
+    const auto found = reporters_.find(endpoint);
+    return found == reporters_.end() ? 0 : found->second.all;
+}
+
+std::uint32_t EvidenceView::direct_reporters(EndpointKey endpoint) const {
+    const auto found = reporters_.find(endpoint);
+    return found == reporters_.end() ? 0 : found->second.direct;
+}
+
+std::map<EndpointKey, EvidenceView::Sum> EvidenceView::sum_by_endpoint() const {
+    std::map<EndpointKey, Sum> sums;
+    for (std::size_t i = 0; i < members_.size(); ++i) {
+        const auto origin = static_cast<MemberId>(i);
+        const OriginState& state = members_.at(origin);
+        if (origin == members_.self() || state.member_state().status == Status::dead) continue;
+        for (const auto& [endpoint, record] : state.evidence()) sums[endpoint].add(origin, record);
+    }
+    return sums;
+}
+
+void EvidenceView::rebuild(Millis now, std::vector<Outgoing>& out) {
+    outdated_ = false;
+    rebuilt_at_ = now;
+    std::vector<EndpointTotals> totals;
+    IndirectReporters indirect;
+    reporters_.clear();
+    for (auto& [endpoint, sum] : sum_by_endpoint()) {
+        EndpointTotals total = sum.totals;
+        total.endpoint = endpoint;
+        if (total.latency_reporters > 0)
+            total.latency_ratio = sum.latency_ratios / kLatencyRatioUnit / total.latency_reporters;
+        reporters_[endpoint] = {total.reporters, total.direct_reporters};
+        if (total.reporters >= kQuorum && total.direct_reporters < kQuorum) indirect[endpoint] = sum.indirect;
+        totals.push_back(total);
+    }
+    if (members_changed_ || totals != totals_) ++revision_;
+    members_changed_ = false;
+    totals_ = std::move(totals);
+    request_confirmations(now, indirect, out);
+}
+
+// One answer brings all that its origin has to say, so origins that report several endpoints come first; ties
+// are in random order.
+std::vector<MemberId> EvidenceView::confirmation_order(const IndirectReporters& indirect) {
+    std::map<MemberId, int> endpoints_reported;
+    for (const auto& [endpoint, origins] : indirect)
+        for (const MemberId origin : origins)
+            if (!asked_.count(origin)) ++endpoints_reported[origin];
+    std::vector<std::pair<double, MemberId>> ranked;
+    for (const auto& [origin, endpoints] : endpoints_reported)
+        ranked.emplace_back(-endpoints - random_.unit(), origin);
+    std::sort(ranked.begin(), ranked.end());
+    std::vector<MemberId> order;
+    for (const auto& [rank, origin] : ranked) order.push_back(origin);
+    return order;
+}
+
+void EvidenceView::request_confirmations(Millis now, const IndirectReporters& indirect,
+                                         std::vector<Outgoing>& out) {
+    std::erase_if(asked_, [&](const auto& entry) { return now >= entry.second + kConfirmPeriod; });
+    std::set<MemberId> chosen;
+    // Whether the origin reports an endpoint for which too few origins have been asked so far.
+    const auto is_needed = [&](MemberId origin) {
+        return std::any_of(indirect.begin(), indirect.end(), [&](const auto& entry) {
+            const std::vector<MemberId>& origins = entry.second;
+            const auto asked = std::count_if(origins.begin(), origins.end(), [&](MemberId other) {
+                return chosen.count(other) > 0 || asked_.count(other) > 0;
+            });
+            return asked < static_cast<std::ptrdiff_t>(kQuorum) &&
+                   std::find(origins.begin(), origins.end(), origin) != origins.end();
+        });
+    };
+    for (const MemberId origin : confirmation_order(indirect)) {
+        if (chosen.size() >= kMaxConfirmations) break;
+        if (!is_needed(origin)) continue;
+        chosen.insert(origin);
+        Datagram request = sender_.make(Kind::summary);
+        request.add(WantItem{origin});
+        ++counts_.confirmations;
+        sender_.send(origin, std::move(request), out);
+    }
+    for (const MemberId origin : chosen) asked_[origin] = now;
+    if (!asked_.empty() && !indirect.empty()) outdated_ = true;  // answers may get lost: check again
+}
+
+}  // namespace ochregrade::replication
--- /dev/null
+++ b/src/replication/failure_detector.hpp
@@ -0,0 +1,88 @@
+// Failure detection: probes one member a period, directly and through others, suspects those that do not
+// answer, and declares dead those that do not refute the suspicion in time. Each member is probed once per
+// round, in random order. Where many pings get lost a probe takes more of them: loss makes detection slower,
+// not wrong. Sources: SWIM (Das, Gupta, Motivala 2002); local health after Lifeguard (Dadgar, Phillips,
+// Currey 2018).
+#pragma once
+
+#include <array>
+#include <map>
+#include <vector>
+
+#include "replication/datagram_sender.hpp"
+#include "replication/evidence_view.hpp"
+
+namespace ochregrade::replication {
+
+class FailureDetector {
+public:
+    /// What the detector uses of the replica; all outlives it.
+    struct Parts {
+        const Options& options;
+        MemberTable& members;
+        PendingUpdates& updates;
+        DatagramSender& sender;
+        EvidenceView& view;
+        PingLoss& ping_loss;
+        Random& random;
+        ReplicaCounts& counts;
+    };
+    explicit FailureDetector(const Parts& parts) : parts_(parts) {}
+
+    void start(Millis now);
+    void stop();
+    Millis due() const;
+    void advance(Millis now, std::vector<Outgoing>& out);
+    /// This process was paused for `pause` ms: silence during that time was its own.
+    void process_paused(Millis now, Millis pause);
+
+    /// Any datagram from a member shows that it is alive.
+    void received_from(MemberId from);
+    void handle_ping(MemberId from, const Datagram& ping, std::vector<Outgoing>& out);
+    void handle_probe_request(MemberId from, const Datagram& request, std::vector<Outgoing>& out);
+    void handle_ack(MemberId from, const Datagram& ack, std::vector<Outgoing>& out);
+    /// The member's epoch, incarnation or status changed in the table: adapts its suspicion and passes it on.
+    void member_state_changed(Millis now, MemberId id);
+
+private:
+    struct Probe {
+        MemberId target = 0;
+        std::uint16_t token = 0;
+        Millis retry_at = 0;
+        double loss_before = 0;  // share of lost pings at its start
+        bool active = false;
+        bool asked_helpers = false;
+        bool first_ping = false;
+    };
+    /// A ping sent on another member's behalf.
+    struct RelayedProbe {
+        std::uint16_t own_token = 0;
+        std::uint16_t requester_token = 0;
+        MemberId requester = 0;
+        MemberId target = 0;
+        bool active = false;
+    };
+
+    void ping_suspects(Millis now, std::vector<Outgoing>& out);
+    void expire_suspicions(Millis now);
+    void set_status(Millis now, MemberId id, Status status);
+    void start_probe(Millis now, std::vector<Outgoing>& out);
+    void ping_unreachable_member(std::vector<Outgoing>& out);
+    void shuffle_round();
+    void ping_target(Millis now, std::vector<Outgoing>& out);
+    void ask_helpers(std::vector<Outgoing>& out);
+    void end_probe(Millis now);
+    Millis probe_time() const;
+    Millis suspicion_time() const;
+
+    Parts parts_;
+    std::vector<MemberId> round_;  // members still to be probed, last first
+    Millis next_probe_ = kNever;
+    Probe probe_;
+    std::array<RelayedProbe, 64> relayed_{};
+    std::size_t next_relayed_ = 0;
+    std::map<MemberId, Millis> suspicions_;    // until when each may be refuted
+    std::map<MemberId, Millis> direct_pings_;  // suspects to be pinged by this member, and when
+};
+
+}  // namespace ochregrade::replication
--- /dev/null
+++ b/src/replication/pending_updates.cpp
@@ -0,0 +1,64 @@
+#include "replication/pending_updates.hpp"
+
+#include <algorithm>
+#include <cmath>
+
+namespace ochregrade::replication {
+
+namespace {
+
+constexpr std::size_t kMaxUpdates = 4096;
+constexpr std::size_t kMaxItemsPerDatagram = kMaxDatagramBytes / 15;  // an upper bound on what may fit
+// Evidence, and that a member has started, are repeated this share of the times: several members report the
+// same, and anti-entropy finds what is missing.
+constexpr double kReducedShare = 0.4;
+constexpr int kMinReducedRepeats = 2;
+constexpr int kMinRepeats = 4;  // a small fleet loses as large a share of datagrams as a large one
+constexpr double kMaxLoss = 0.9;
+
+}  // namespace
+
+void PendingUpdates::add(Millis now, const UpdateKey& key) {
+    if (sent_.size() >= kMaxUpdates && !sent_.count(key)) return;  // left to anti-entropy
+    sent_[key] = 0;
+    if (next_round_ == kNever) next_round_ = std::max(now, last_round_ + options_.gossip_period);
+}
+
+int PendingUpdates::max_repeats() const {
+    const double times = options_.repeats * std::log10(static_cast<double>(members_.size()) + 1);
+    // Pings are lost on the way there and back: one way alone delivers the square root of that.
+    const double delivered = std::sqrt(1 - std::min(kMaxLoss, ping_loss_.share()));
+    return std::max(kMinRepeats, static_cast<int>(std::ceil(times / delivered)));
+}
+
+int PendingUpdates::repeats_of(const Item& item, int max_repeats) const {
+    const auto* member = std::get_if<MemberItem>(&item);
+    const bool started = member && member->state.status == Status::alive && member->state.incarnation == 0;
+    if (!started && !std::holds_alternative<EvidenceItem>(item)) return max_repeats;
+    return std::max(kMinReducedRepeats, static_cast<int>(std::ceil(kReducedShare * max_repeats)));
+}
+
+void PendingUpdates::attach(Datagram& datagram, MemberId receiver) {
+    if (sent_.empty()) return;
+    std::vector<std::map<UpdateKey, int>::iterator> order;
+    order.reserve(sent_.size());
+    for (auto update = sent_.begin(); update != sent_.end(); ++update)
+        if (update->first.origin != receiver || update->first.subject == UpdateKey::Subject::member)
+            order.push_back(update);
+    const std::size_t candidates = std::min<std::size_t>(order.size(), kMaxItemsPerDatagram);
+    std::partial_sort(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(candidates), order.end(),
+                      [](const auto& a, const auto& b) { return a->second < b->second; });
+    const int repeats = max_repeats();
+    for (std::size_t i = 0; i < candidates; ++i) {
+        const auto item = members_.item(order[i]->first);
+        if (item && !datagram.add(*item)) continue;
+        if (!item || ++order[i]->second >= repeats_of(*item, repeats)) sent_.erase(order[i]);
+    }
+}
+
+void PendingUpdates::round_finished(Millis now) {
+    last_round_ = now;
+    next_round_ = sent_.empty() ? kNever : now + options_.gossip_period;
+}
+
+}  // namespace ochregrade::replication
--- a/src/replication/records.cpp
+++ b/src/replication/records.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-// Copies of the same write: the shorter life holds, whoever repeats it.
+// Copies of the same write: the earlier expiry counts, whoever repeats it.
 template <class Value>
-void join_copies(Record<Value>& held, const Record<Value>& other) {
-    held.expires = std::min(held.expires, other.expires);
-    held.firsthand |= other.firsthand;
+void join_copies(Record<Value>& record, const Record<Value>& copy) {
+    record.expires = std::min(record.expires, copy.expires);
+    record.firsthand |= copy.firsthand;
 }
 
 std::uint64_t hash_of(std::initializer_list<std::uint32_t> words) {
@@ -23,73 +23,73 @@
 
 }  // namespace
 
-std::uint32_t OriginState::top_count() const {
-    std::uint32_t top = floor_;
-    for (const auto& [key, record] : evidence_) top = std::max(top, record.count);
-    return versions_ ? std::max(top, versions_->count) : top;
+std::uint32_t OriginState::highest_sequence() const {
+    std::uint32_t highest = floor_;
+    for (const auto& [key, record] : evidence_) highest = std::max(highest, record.sequence);
+    return versions_ ? std::max(highest, versions_->sequence) : highest;
 }
 
-bool OriginState::join(const MemberState& standing) {
-    if (!(standing > standing_)) return false;
-    if (standing.epoch > standing_.epoch) {
+bool OriginState::join(const MemberState& state) {
+    if (!(state > member_state_)) return false;
+    if (state.epoch > member_state_.epoch) {
         evidence_.clear();
         versions_.reset();
         floor_ = 0;
     }
-    standing_ = standing;
+    member_state_ = state;
     fingerprint_.reset();
     return true;
 }
 
-bool OriginState::join(std::uint32_t life, EndpointKey key, Record<Evidence> record) {
-    if (life < standing_.epoch || life == 0) return false;
-    if (life > standing_.epoch) join(MemberState{life, 0, Status::alive});
-    if (record.count <= floor_) return false;
+bool OriginState::join(std::uint32_t epoch, EndpointKey key, Record<Evidence> record) {
+    if (epoch < member_state_.epoch || epoch == 0) return false;
+    if (epoch > member_state_.epoch) join(MemberState{epoch, 0, Status::alive});
+    if (record.sequence <= floor_) return false;
     fingerprint_.reset();
-    const auto [at, fresh] = evidence_.try_emplace(key, record);
-    if (!fresh) {
-        if (at->second.count == record.count && at->second.value == record.value) {
+    const auto [at, inserted] = evidence_.try_emplace(key, record);
+    if (!inserted) {
+        if (at->second.sequence == record.sequence && at->second.value == record.value) {
             join_copies(at->second, record);
             return false;
         }
-        if (!record.beats(at->second)) return false;
+        if (!record.supersedes(at->second)) return false;
         at->second = std::move(record);
     }
-    const std::uint32_t count = at->second.count;
+    const std::uint32_t sequence = at->second.sequence;
     trim();
-    return count > floor_;
+    return sequence > floor_;
 }
 
-bool OriginState::join(std::uint32_t life, Record<Versions> record) {
-    if (life < standing_.epoch || life == 0) return false;
-    if (life > standing_.epoch) join(MemberState{life, 0, Status::alive});
-    if (versions_ && versions_->count == record.count && versions_->value == record.value) {
+bool OriginState::join(std::uint32_t epoch, Record<Versions> record) {
+    if (epoch < member_state_.epoch || epoch == 0) return false;
+    if (epoch > member_state_.epoch) join(MemberState{epoch, 0, Status::alive});
+    if (versions_ && versions_->sequence == record.sequence && versions_->value == record.value) {
         join_copies(*versions_, record);
         return false;
     }
-    if (versions_ && !record.beats(*versions_)) return false;
+    if (versions_ && !record.supersedes(*versions_)) return false;
     versions_ = std::move(record);
     fingerprint_.reset();
     return true;
 }
 
 bool OriginState::join(const OriginState& other) {
-    if (other.standing_.epoch == 0) return false;
-    bool changed = join(other.standing_);
-    if (other.standing_.epoch < standing_.epoch) return changed;
+    if (other.member_state_.epoch == 0) return false;
+    bool changed = join(other.member_state_);
+    if (other.member_state_.epoch < member_state_.epoch) return changed;
     changed |= raise_floor(other.floor_);
-    for (const auto& [key, record] : other.evidence_) changed |= join(other.standing_.epoch, key, record);
-    if (other.versions_) changed |= join(other.standing_.epoch, *other.versions_);
+    for (const auto& [key, record] : other.evidence_) changed |= join(other.member_state_.epoch, key, record);
+    if (other.versions_) changed |= join(other.member_state_.epoch, *other.versions_);
     return changed;
 }
 
-// The newest kMostRecords: whatever the order they came in, the same ones are left.
+// Retains the newest kMaxRecordsPerOrigin, which are the same whatever order the records came in.
 void OriginState::trim() {
-    while (evidence_.size() > kMostRecords) {
-        const auto oldest =
-            std::min_element(evidence_.begin(), evidence_.end(),
-                             [](const auto& a, const auto& b) { return a.second.count < b.second.count; });
-        raise_floor(oldest->second.count);
+    while (evidence_.size() > kMaxRecordsPerOrigin) {
+        const auto oldest = std::min_element(
+            evidence_.begin(), evidence_.end(),
+            [](const auto& a, const auto& b) { return a.second.sequence < b.second.sequence; });
+        raise_floor(oldest->second.sequence);
     }
 }
 
@@ -97,37 +97,37 @@
     if (floor <= floor_) return false;
     floor_ = floor;
     fingerprint_.reset();
-    std::erase_if(evidence_, [&](const auto& entry) { return entry.second.count <= floor_; });
+    std::erase_if(evidence_, [&](const auto& entry) { return entry.second.sequence <= floor_; });
     return true;
 }
 
-// All evidence lives equally long from its writing, so what was written before an expired record has expired
-// too: the floor says so of what has not come yet.
+// All evidence has the same lifetime, so whatever was written before an expired record has expired too. The
+// floor applies that to records that have not arrived yet.
 bool OriginState::expire(Millis now) {
-    std::uint32_t over = floor_;
+    std::uint32_t expired = floor_;
     for (const auto& [key, record] : evidence_)
-        if (now >= record.expires) over = std::max(over, record.count);
-    return raise_floor(over);
+        if (now >= record.expires) expired = std::max(expired, record.sequence);
+    return raise_floor(expired);
 }
 
 std::uint32_t OriginState::fingerprint() const {
-    if (!fingerprint_) fingerprint_ = standing_.epoch == 0 ? 0 : hash();
+    if (!fingerprint_) fingerprint_ = member_state_.epoch == 0 ? 0 : hash();
     return *fingerprint_;
 }
 
 std::uint32_t OriginState::hash() const {
-    std::uint64_t sum = hash_of({0, standing_.epoch, standing_.incarnation,
-                                 static_cast<std::uint32_t>(standing_.status), top_count()});
+    std::uint64_t sum = hash_of({0, member_state_.epoch, member_state_.incarnation,
+                                 static_cast<std::uint32_t>(member_state_.status), highest_sequence()});
     for (const auto& [key, record] : evidence_) {
         const Evidence& e = record.value;
         const std::uint32_t value = static_cast<std::uint32_t>(e.successes) << 24 |
                                     static_cast<std::uint32_t>(e.failures) << 16 |
                                     static_cast<std::uint32_t>(e.latency_ratio) << 8 | e.flags;
-        sum += hash_of({1, key, record.count, value});
+        sum += hash_of({1, key, record.sequence, value});
     }
     if (versions_) {
         const Versions& v = versions_->value;
-        sum += hash_of({2, versions_->count, v.epoch, v.hash, v.list_incarnation, v.list_seq});
+        sum += hash_of({2, versions_->sequence, v.epoch, v.hash, v.list_incarnation, v.list_seq});
     }
     return static_cast<std::uint32_t>(sum ^ sum >> 32);
 }
--- a/src/replication/records.hpp
+++ b/src/replication/records.hpp
@@ -1,17 +1,18 @@
-// What the sidecars of a tier know together: records, their versions, and the rule for copies that differ.
-// No sockets, no clock, no decisions. Times are milliseconds on the reader's own clock, which never goes
-// back.
+// Replicated records and the rule by which differing copies are merged. No I/O and no clock: times are
+// milliseconds on the reader's own clock, which never goes back.
 //
-// Each sidecar (an origin, by its number among the siblings) writes records of its own and nobody else's.
-// What is held of an origin is a join-semilattice: joining copies gives the same result in any order, however
-// often. It is the product, in this order, of
-//   life         a process of the origin; a later life replaces all of an earlier one,
-//   incarnation, status  SWIM's (Das, Gupta, Motivala 2002): the higher incarnation wins, of equals the worse
-//                status, so that only the origin itself refutes a suspicion, by a higher incarnation,
-//   records      by key the higher count wins; an origin never writes two records with one count, so copies
-//                that differ at the same count are forged, and the greater value stands until the origin
-//                answers with a higher count,
-//   floor        records that expire and whose count is no higher have expired: what is replayed is not news.
+// Each sidecar (an origin, by its index among the sidecars) writes its own records and nobody else's. What is
+// held of an origin is a join-semilattice (a state-based CRDT; Shapiro et al. 2011): joining copies gives the
+// same result in any order and however often. It is the product, in this order, of
+//   epoch        one process of the origin; a later epoch replaces everything of an earlier one,
+//   incarnation, status  as in SWIM (Das, Gupta, Motivala 2002): the higher incarnation wins, and at equal
+//                incarnations the worse status, so that only the origin refutes a suspicion, by a higher
+//                incarnation,
+//   records      by key the higher sequence wins. An origin never writes two records with one sequence, so
+//                copies that differ at the same sequence are forged; the greater value stands until the
+//                origin answers with a higher sequence,
+//   floor        records that expire and whose sequence is no higher have expired, so that replayed ones are
+//                not taken for new.
 #pragma once
 
 #include <compare>
@@ -23,103 +24,106 @@
 namespace ochregrade::replication {
 
 using Millis = double;
-using MemberId = std::uint16_t;  // a sidecar's number among its siblings, from 0
-using EndpointKey =
-    std::uint32_t;  // a server's number, the same at every sidecar; the key of what is known of it
+using MemberId = std::uint16_t;     // a sidecar's index among the sidecars, from 0
+using EndpointKey = std::uint32_t;  // identifies one process of an endpoint, the same at every sidecar
 
-// A tier may be no larger: the state of one with more would not fit the memory of a sidecar.
+/// Most members of a fleet: the state of a larger one would not fit the memory of a sidecar.
 constexpr std::size_t kMaxMembers = 4096;
-// Of one origin at once. An origin with more to say withdraws its oldest.
-constexpr std::size_t kMostRecords = 32;
-// What an origin says of a server holds for this long after it was written, wherever it is read.
-constexpr Millis kEvidenceLife = 10000;
+/// Evidence records of one origin at any time; beyond that the oldest are dropped.
+constexpr std::size_t kMaxRecordsPerOrigin = 32;
+/// Evidence is valid for this long after it was written, wherever it is read (milliseconds).
+constexpr Millis kEvidenceLifetime = 10000;
 
 enum class Status : std::uint8_t { alive = 0, suspect = 1, dead = 2 };
 
-// How a member is known: the whole of it is ordered, and the greatest wins.
+/// SWIM state of a member: totally ordered, and the greatest wins.
 struct MemberState {
-    std::uint32_t epoch = 0;  // 0: never heard of
+    std::uint32_t epoch = 0;  // Unix seconds of the process start; 0: unknown member
     std::uint32_t incarnation = 0;
     Status status = Status::alive;
     auto operator<=>(const MemberState&) const = default;
 };
 
-// What an origin saw of a server in its own real requests of late. Never more than 255 outcomes.
+/// What an origin recently saw of an endpoint in its own requests: at most 255 outcomes.
 struct Evidence {
     std::uint8_t successes = 0, failures = 0;
-    std::uint8_t latency_ratio = 0;  // its answers' time against their aim, in 1/64; 0: not known
-    std::uint8_t flags = 0;          // kRemoved, kRestored
+    std::uint8_t latency_ratio = 0;  // latency over the latency objective, in 1/64; 0: unknown
+    std::uint8_t flags = 0;          // kEjected, kRecovered, kWithdrawn
     auto operator<=>(const Evidence&) const = default;
 };
-constexpr std::uint8_t kRemoved = 1;   // out of the origin's own pool
-constexpr std::uint8_t kRestored = 2;  // back in it after a trial
-constexpr std::uint8_t kClosed = 4;    // on the origin's list it drains or is gone
-
-// What an origin acts on (docs/CONFIGURATION.md): its configuration's epoch and hash, its list's incarnation
-// and number. The epoch and the incarnation only grow; each orders what has the same first part.
+constexpr std::uint8_t kEjected = 1;    // ejected by the origin
+constexpr std::uint8_t kRecovered = 2;  // returned to the pool after a successful half-open trial
+constexpr std::uint8_t kWithdrawn = 4;  // draining or gone in the origin's endpoint list
+// The names the balancer driver still uses.
+constexpr std::uint8_t kRemoved = kEjected;
+constexpr std::uint8_t kRestored = kRecovered;
+
+/// What an origin acts on (docs/CONFIGURATION.md): epoch and hash of its settings, incarnation and sequence
+/// number of its endpoint list. Epoch and incarnation only grow.
 struct Versions {
     std::uint32_t epoch = 0, hash = 0;
     std::uint32_t list_incarnation = 0, list_seq = 0;
     auto operator<=>(const Versions&) const = default;
 };
 
+/// One write of an origin.
 template <class Value>
 struct Record {
-    std::uint32_t count = 0;  // the origin's, of this write
+    std::uint32_t sequence = 0;  // numbers the origin's writes
     Value value{};
-    Millis expires = 0;  // by the holder's clock; no matter for Versions
-    bool firsthand =
-        false;  // it came from its origin itself, as its address shows: nobody else can have made it
-    // Whether this one replaces `held`, which is about the same key.
-    bool beats(const Record& held) const {
-        return count != held.count ? count > held.count : value > held.value;
+    Millis expires = 0;      // on the reader's clock; unused for Versions
+    bool firsthand = false;  // received from the origin's own address, so not forged by another member
+    /// Whether this record replaces `other`, which has the same key.
+    bool supersedes(const Record& other) const {
+        return sequence != other.sequence ? sequence > other.sequence : value > other.value;
     }
 };
 
+/// All that is held of one origin.
 class OriginState {
 public:
-    const MemberState& standing() const { return standing_; }
+    const MemberState& member_state() const { return member_state_; }
     std::uint32_t floor() const { return floor_; }
     const std::map<EndpointKey, Record<Evidence>>& evidence() const { return evidence_; }
     const std::optional<Record<Versions>>& versions() const { return versions_; }
-    std::uint32_t top_count() const;  // the highest count held, or the floor
+    std::uint32_t highest_sequence() const;  // of all records, or the floor
 
-    // Each returns whether anything but a record's expiry or its being firsthand changed.
-    bool join(const MemberState& standing);
-    bool join(std::uint32_t life, EndpointKey key, Record<Evidence> record);
-    bool join(std::uint32_t life, Record<Versions> record);
+    /// Each returns whether anything other than an expiry or `firsthand` changed.
+    bool join(const MemberState& state);
+    bool join(std::uint32_t epoch, EndpointKey key, Record<Evidence> record);
+    bool join(std::uint32_t epoch, Record<Versions> record);
     bool join(const OriginState& other);
-    // What this life of the origin wrote up to there has expired.
+    /// Everything this epoch of the origin wrote up to this sequence has expired.
     bool raise_floor(std::uint32_t floor);
 
-    // Drops what has expired by `now`; returns whether anything did.
+    /// Drops what has expired by `now`; returns whether anything did.
     bool expire(Millis now);
 
-    // A hash of all but expiries and what is firsthand: the same for copies that agree. Source: XXH64.
+    /// XXH64 over everything but expiries and `firsthand`: equal for copies that agree. 0: unknown member.
     std::uint32_t fingerprint() const;
 
 private:
     void trim();
     std::uint32_t hash() const;
 
-    MemberState standing_;
+    MemberState member_state_;
     std::uint32_t floor_ = 0;
     std::map<EndpointKey, Record<Evidence>> evidence_;
     std::optional<Record<Versions>> versions_;
     mutable std::optional<std::uint32_t> fingerprint_;  // since the last change
 };
 
-// What all origins that take part say of one server, added up. Whatever is passed on may have been forged by
-// whoever passed it on, so against a server counts only what came firsthand; for it, all.
+/// The evidence of all other live members on one endpoint, added up. Forwarded records may have been forged
+/// by the member that forwarded them, so only firsthand records count against an endpoint; all count for it.
 struct EndpointTotals {
     EndpointKey endpoint = 0;
-    std::uint32_t successes = 0, failures = 0;  // outcomes: good ones of all, bad ones firsthand
-    std::uint32_t reporters = 0;          // origins with bad outcomes, or that have it out of their pool
-    std::uint32_t direct_reporters = 0;   // those of them that said so themselves
-    std::uint32_t withdrawals = 0;        // origins that said themselves that it drains or is gone
-    std::uint32_t recoveries = 0;         // origins that have just brought it back
-    std::uint32_t latency_reporters = 0;  // origins that said themselves how long its answers take
-    double latency_ratio = 0;             // the mean of that; 0: nobody did
+    std::uint32_t successes = 0, failures = 0;  // successes of all; failures firsthand
+    std::uint32_t reporters = 0;                // origins with failures, or that ejected it
+    std::uint32_t direct_reporters = 0;         // those of them received firsthand
+    std::uint32_t withdrawals = 0;              // origins (firsthand) where it is draining or gone
+    std::uint32_t recoveries = 0;               // origins that have just returned it to the pool
+    std::uint32_t latency_reporters = 0;        // origins (firsthand) that report a latency ratio
+    double latency_ratio = 0;                   // mean latency over objective; 0: nobody reports one
     bool operator==(const EndpointTotals&) const = default;
 };
 
--- a/src/replication/version_agreement.hpp
+++ b/src/replication/version_agreement.hpp
@@ -1,6 +1,6 @@
-// Whether the others act on newer versions than this sidecar, and when to ask for them: soon, not all at
-// once, and ever more seldom where what was claimed is not to be had. No sockets, no clock; it fetches
-// nothing.
+// Follows the versions that other members claim to act on and decides when to request a newer one: soon, not
+// all members at once, and with growing backoff where a claimed version can't be had. Times are Unix
+// milliseconds. No I/O and no clock: the caller fetches. Source: docs/CONFIGURATION.md.
 #pragma once
 
 #include <optional>
@@ -10,51 +10,52 @@
 
 namespace ochregrade::replication {
 
-struct Pace {
-    Millis grace = 150;      // whoever is told by the ordinary way within this need not ask
-    Millis spread = 250;     // the askers' calls fall evenly in so much more
-    Millis again = 300;      // the first wait after a call that did not bring it; doubles
-    Millis longest = 10000;  // up to this
+/// When a newer version is requested (milliseconds).
+struct RequestPacing {
+    Millis grace = 150;        // time for the version to arrive by the ordinary way
+    Millis spread = 250;       // requests of the fleet are spread over this much more
+    Millis first_retry = 300;  // wait after a first request without success; doubles
+    Millis max_retry = 10000;
 };
-constexpr Pace kListPace{};
-constexpr Pace kSettingsPace{200, 500, 500, 10000};
+constexpr RequestPacing kListPacing{};
+constexpr RequestPacing kSettingsPacing{200, 500, 500, 10000};
 
-// A place in an order of versions: (epoch, hash) of settings or (incarnation, number) of a list.
+/// A version that can be ordered: (epoch, hash) of settings or (incarnation, number) of a list.
 struct VersionId {
     std::uint32_t major = 0, minor = 0;
     auto operator<=>(const VersionId&) const = default;
 };
 
-// One thing that has versions.
+/// Follows the versions of one subject: the settings, or the endpoint list.
 class VersionFollower {
 public:
-    VersionFollower(Pace pace, std::uint64_t seed) : pace_(pace), random_(seed) {}
+    VersionFollower(RequestPacing pacing, std::uint64_t seed) : pacing_(pacing), random_(seed) {}
 
-    // What this sidecar acts on, and what others say they do.
+    /// What this sidecar acts on, and what the others claim to act on.
     void observe(Millis now, const VersionId& own, std::span<const VersionId> claims);
-    // When to ask; none: there is nothing to ask for.
+    /// When to request the claimed version; none: there is nothing to request.
     std::optional<Millis> due() const { return due_; }
-    // It has asked. What was claimed and does not come is asked for again, later each time.
+    /// A request was sent. Without success it is repeated, later each time.
     void requested(Millis now);
 
     bool behind() const { return claimed_.has_value(); }
     const std::optional<VersionId>& claimed() const { return claimed_; }
     std::uint64_t calls() const { return calls_; }
-    std::uint64_t unfounded() const { return unfounded_; }  // claims that nothing was found of
+    std::uint64_t unfounded() const { return unfounded_; }  // claims given up
 
 private:
-    Pace pace_;
+    RequestPacing pacing_;
     Random random_;
     std::optional<VersionId> claimed_;
     std::optional<Millis> due_;
-    Millis wait_ = 0;
-    int in_vain_ = 0;                // calls for this claim
-    std::optional<VersionId> void_;  // from there on claims were unfounded,
-    Millis void_until_ = 0;          // and are not heeded until then
+    Millis backoff_ = 0;
+    int failed_requests_ = 0;                // for this claim
+    std::optional<VersionId> ignored_from_;  // claims of this version and newer ones
+    Millis ignored_until_ = 0;               // are ignored until then
     std::uint64_t calls_ = 0, unfounded_ = 0;
 };
 
-VersionId settings_place(const Versions& v);
-VersionId list_place(const Versions& v);
+VersionId settings_version(const Versions& v);
+VersionId list_version(const Versions& v);
 
 }  // namespace ochregrade::replication
--- a/tests/replication/decode_fuzz.cpp
+++ b/tests/replication/decode_fuzz.cpp
@@ -1,6 +1,6 @@
-// A fuzz target for whatever may come in a datagram: decoded, written again, and heard by a replica.
-// With libFuzzer: -DOCHREGRADE_FUZZ=ON (clang). Without, main() below plays the corpus and a fixed number of
-// mutations of it, the same every time.
+// Fuzz target for received datagrams: decodes them, encodes them again, and passes them to a replica.
+// With libFuzzer: -DOCHREGRADE_FUZZ=ON (clang). Without it, main() below runs the corpus and a fixed number
+// of mutations of it, the same ones every time.
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -26,63 +26,80 @@
     replica.start(now, out);
     replica.publish(now, 3, {1, 1, 0, 0});
     replica.receive(now, 2, bytes, out);
-    if (size >= kHead && size <= kLongest) {
+    if (size >= kHeaderBytes && size <= kMaxDatagramBytes) {
         Bytes fixed(bytes.begin(), bytes.end());
-        fixed[0] = kFormat;
+        fixed[0] = kFormatByte;
         fix_checksum(fixed);
         for (int i = 0; i < 3; ++i) replica.receive(now + i, static_cast<MemberId>(2 + i), fixed, out);
     }
     for (Millis at = now; at < now + 3000; at = std::max(at + 1, replica.due())) replica.advance(at, out);
     for (const Outgoing& o : out)
-        if (o.bytes.size() > kLongest || (o.to >= 40 && o.to != kAll) ||
-            std::holds_alternative<Fault>(decode(o.bytes)))
+        if (o.bytes.size() > kMaxDatagramBytes || (o.to >= 40 && o.to != kAll) ||
+            std::holds_alternative<DecodeError>(decode(o.bytes)))
             std::abort();
-    if (replica.records() > 40 * kMostRecords) std::abort();
+    if (replica.records() > 40 * kMaxRecordsPerOrigin) std::abort();
     return 0;
 }
 
 #ifndef OCHREGRADE_LIBFUZZER
-int main(int argc, char** argv) {
-    if (argc != 3) return 2;
+namespace {
+
+std::vector<Bytes> read_corpus(const char* directory) {
     std::vector<std::filesystem::path> files;
-    for (const auto& entry : std::filesystem::directory_iterator(argv[1])) files.push_back(entry.path());
+    for (const auto& entry : std::filesystem::directory_iterator(directory)) files.push_back(entry.path());
     std::sort(files.begin(), files.end());
     std::vector<Bytes> corpus;
     for (const auto& path : files) {
         std::ifstream file(path, std::ios::binary);
         corpus.emplace_back(std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>());
     }
-    if (corpus.size() < 7) return std::fputs("the corpus is not there\n", stderr), 1;
+    return corpus;
+}
+
+void mutate(Bytes& bytes, const std::vector<Bytes>& corpus, std::mt19937_64& random) {
+    switch (random() % 4) {
+        case 0:
+            bytes[random() % bytes.size()] = static_cast<std::uint8_t>(random());
+            break;
+        case 1:
+            bytes.resize(random() % (kMaxDatagramBytes + 20), static_cast<std::uint8_t>(random()));
+            break;
+        case 2:
+            bytes[random() % bytes.size()] ^= static_cast<std::uint8_t>(1u << random() % 8);
+            break;
+        default: {
+            const Bytes& other = corpus[random() % corpus.size()];
+            const std::size_t header = std::min(kHeaderBytes, other.size());
+            bytes.insert(bytes.end(), other.begin() + static_cast<std::ptrdiff_t>(header), other.end());
+        }
+    }
+}
+
+int fail(const char* message) {
+    std::fputs(message, stderr);
+    return 1;
+}
+
+}  // namespace
+
+// Arguments: the corpus directory and the number of mutations.
+int main(int argc, char** argv) {
+    if (argc != 3) return 2;
+    const std::vector<Bytes> corpus = read_corpus(argv[1]);
+    if (corpus.size() < 7) return fail("the corpus is not there\n");
     for (const Bytes& seed : corpus) {
-        if (std::holds_alternative<Fault>(decode(seed)))
-            return std::fputs("a seed is no datagram\n", stderr), 1;
+        if (std::holds_alternative<DecodeError>(decode(seed))) return fail("a seed is no datagram\n");
         LLVMFuzzerTestOneInput(seed.data(), seed.size());
     }
     std::mt19937_64 random(1);
-    const long runs = std::atol(argv[2]);
-    for (long i = 0; i < runs; ++i) {
+    const long mutations = std::strtol(argv[2], nullptr, 10);
+    for (long i = 0; i < mutations; ++i) {
         Bytes bytes = corpus[random() % corpus.size()];
-        for (auto n = 1 + random() % 8; n > 0 && !bytes.empty(); --n) switch (random() % 4) {
-                case 0:
-                    bytes[random() % bytes.size()] = static_cast<std::uint8_t>(random());
-                    break;
-                case 1:
-                    bytes.resize(random() % (kLongest + 20), static_cast<std::uint8_t>(random()));
-                    break;
-                case 2:
-                    bytes[random() % bytes.size()] ^= static_cast<std::uint8_t>(1u << random() % 8);
-                    break;
-                default: {
-                    const Bytes& other = corpus[random() % corpus.size()];
-                    bytes.insert(bytes.end(),
-                                 other.begin() + std::min<std::ptrdiff_t>(
-                                                     kHead, static_cast<std::ptrdiff_t>(other.size())),
-                                 other.end());
-                }
-            }
+        for (auto changes = 1 + random() % 8; changes > 0 && !bytes.empty(); --changes)
+            mutate(bytes, corpus, random);
         LLVMFuzzerTestOneInput(bytes.data(), bytes.size());
     }
-    std::printf("%zu seeds and %ld mutations\n", corpus.size(), runs);
+    std::printf("%zu seeds and %ld mutations\n", corpus.size(), mutations);
     return 0;
 }
 #endif
--- a/tests/replication/recorded_datagrams_test.cpp
+++ b/tests/replication/recorded_datagrams_test.cpp
@@ -5,6 +5,7 @@
 #include <xxhash.h>
 
 #include <cmath>
+#include <deque>
 #include <map>
 
 #include "replication/replica.hpp"
@@ -39,7 +40,7 @@
 
 std::vector<Case> cases() {
     Datagram digest = a_datagram(Kind::digest, 0, 0);
-    for (std::uint8_t i = 0; i < kRanges; ++i) digest.items.push_back(RangeItem{i, 0x01010101u * i});
+    for (std::uint8_t i = 0; i < kDigestRanges; ++i) digest.items.push_back(RangeItem{i, 0x01010101u * i});
     return {
         {"ping", a_datagram(Kind::ping, 0x1234, 0)},
         {"probe", a_datagram(Kind::probe, 0x1235, 0x0a0b)},
@@ -48,7 +49,7 @@
         {"digest", digest},
         {"pull", a_datagram(Kind::pull, 0x0003, 0, {kRange, RangeItem{0, 1}})},
         {"summary", a_datagram(Kind::summary, 0x8000, 0, {kFingerprint, kWant})},
-        {"shout", a_datagram(Kind::shout, 0, 0, {kEvidence, kAliveMember})},
+        {"shout", a_datagram(Kind::broadcast, 0, 0, {kEvidence, kAliveMember})},
         {"item-member-alive", a_datagram(Kind::gossip, 0, 0, {kAliveMember})},
         {"item-member-suspect", a_datagram(Kind::gossip, 0, 0, {kSuspectMember})},
         {"item-member-dead", a_datagram(Kind::gossip, 0, 0, {kDeadMember})},
@@ -69,10 +70,10 @@
     const Bytes bytes = recorded::bytes_of_hex(recorded::read(file_of(c.name)));
     EXPECT_TRUE(is_shared_state(bytes));
     const auto read = decode(bytes);
-    ASSERT_TRUE(std::holds_alternative<Datagram>(read)) << to_string(std::get<Fault>(read));
+    ASSERT_TRUE(std::holds_alternative<Datagram>(read)) << to_string(std::get<DecodeError>(read));
     const Datagram& datagram = std::get<Datagram>(read);
     EXPECT_EQ(datagram.kind, c.datagram.kind);
-    EXPECT_EQ(datagram.life, c.datagram.life);
+    EXPECT_EQ(datagram.epoch, c.datagram.epoch);
     EXPECT_EQ(datagram.incarnation, c.datagram.incarnation);
     EXPECT_EQ(datagram.token, c.datagram.token);
     EXPECT_EQ(datagram.subject, c.datagram.subject);
@@ -85,7 +86,7 @@
     return name;
 });
 
-// ---- The short ones of the decision module ----------------------------------------------------------------
+// ---- The short ones of the decision module ---------------------------------------------------------------
 
 // A light sidecar of a fleet of 160, whose requests end so; a line for each datagram it sends.
 std::string lines_of_short_datagrams(Outcome outcome) {
@@ -134,13 +135,13 @@
             const Bytes bytes = recorded::bytes_of_hex(digits);
             EXPECT_EQ(bytes.size(), size) << name << " " << digits;
             EXPECT_FALSE(is_shared_state(bytes));
-            EXPECT_TRUE(std::holds_alternative<Fault>(decode(bytes)));
+            EXPECT_TRUE(std::holds_alternative<DecodeError>(decode(bytes)));
         }
         EXPECT_GT(datagrams, 5u) << name;
     }
 }
 
-// ---- A fleet on a scripted clock --------------------------------------------------------------------------
+// ---- A fleet on a scripted clock -------------------------------------------------------------------------
 
 // Replicas whose datagrams each take 7 ms, in the order in which they were sent. One may be silent: it does
 // nothing and nothing reaches it.
@@ -204,7 +205,7 @@
         }
     }
     static constexpr int kDelay = 7;
-    std::vector<Replica> replicas_;
+    std::deque<Replica> replicas_;
     std::multimap<int, InFlight> flying_;
     int elapsed_ = 0;
     Millis now_ = kLife * 1000.0;
@@ -236,15 +237,15 @@
     };
     for (MemberId i = 0; i < kMembers; ++i) fleet.act(i, start), fleet.run_for(20);
     fleet.run_for(1500), mark("started");
-    fleet.act(0, say(EndpointKey{9}, Evidence{20, 3, 70, kRemoved}));
+    fleet.act(0, say(EndpointKey{9}, Evidence{20, 3, 70, kEjected}));
     fleet.act(1, say(EndpointKey{9}, Evidence{30, 0, 60, 0}));
-    fleet.act(2, say(EndpointKey{0xabcdef01}, Evidence{0, 5, 0, kClosed})), fleet.run_for(1500);
+    fleet.act(2, say(EndpointKey{0xabcdef01}, Evidence{0, 5, 0, kWithdrawn})), fleet.run_for(1500);
     mark("evidence");
     fleet.act(4, say(Versions{2, 0x1234, 1, 17})), fleet.run_for(1000), mark("versions");
     fleet.silent = kSilentOne, fleet.run_for(9000), mark("silent");
-    EXPECT_EQ(fleet.at(0).member(kSilentOne).standing().status, Status::dead);
+    EXPECT_EQ(fleet.at(0).member(kSilentOne).member_state().status, Status::dead);
     fleet.silent = kAll, fleet.run_for(5000), mark("heard-again");
-    EXPECT_EQ(fleet.at(0).member(kSilentOne).standing().status, Status::alive);
+    EXPECT_EQ(fleet.at(0).member(kSilentOne).member_state().status, Status::alive);
     fleet.act(1, [](Replica& r, Millis now, auto& out) { r.leave(now, out); });
     fleet.run_for(2000), mark("one-left");
     recorded::expect_same("datagrams/replication.txt", text);
