--- a/src/recovery/state_store.cpp
+++ b/src/recovery/state_store.cpp
@@ -3,7 +3,6 @@
 #include <algorithm>
 #include <cmath>
 #include <cstdlib>
-#include <cstring>
 #include <ctime>
 #include <fstream>
 #include <random>
@@ -134,21 +133,21 @@
 }
 
 std::unique_ptr<StateStore> StateStore::open(const std::string& path) {
-    storage::OpenedFolder opened = storage::open_folder(path);
-    const bool had = opened.folder != nullptr;
-    auto keeper = std::make_unique<StateStore>(std::move(opened.folder), now_by_the_system);
+    storage::OpenedDirectory opened = storage::open_directory(path);
+    const bool had = opened.directory != nullptr;
+    auto keeper = std::make_unique<StateStore>(std::move(opened.directory), now_by_the_system);
     if (!had) {
-        keeper->unusable_reason_ =
-            opened.error == EWOULDBLOCK ? "another process has it" : std::strerror(opened.error);
+        keeper->unusable_reason_ = opened.error == std::errc::operation_would_block ? "another process has it"
+                                                                                    : opened.error.message();
         log_line("state: the folder can't be had, and nothing is kept: " + keeper->unusable_reason_);
     }
     return keeper;
 }
 
-StateStore::StateStore(std::shared_ptr<storage::Folder> folder, Now now)
+StateStore::StateStore(std::shared_ptr<storage::Directory> folder, Now now)
     : folder_(std::move(folder)), now_(std::move(now)) {
     if (folder_)
-        store_ = std::make_shared<storage::Store>(
+        store_ = std::make_shared<storage::RecordStore>(
             *folder_, [](const std::string& line) { log_line("state: " + line); });
 }
 
@@ -163,15 +162,16 @@
     });
     if (counted) starts = json::parse(counted->payload).at("starts").get<int>();
     // On the disk before any of the state is used: it may be what ends this life.
-    if (const int error = store_->save(kStarts, json{{"starts", starts + 1}}.dump())) {
-        unusable_reason_ = std::string("it can't be written and so is not used: ") + std::strerror(error);
+    if (const std::error_code error = store_->save(kStarts, json{{"starts", starts + 1}}.dump())) {
+        unusable_reason_ = std::string("it can't be written and so is not used: ") + error.message();
         log_line("state: " + unusable_reason_);
         return r;
     }
     r.crash_loop = starts >= kMaxShortRuns;
     if (r.crash_loop) {
         log_line("state: started without it: the last " + std::to_string(starts) + " lives were short");
-        for (const char* kind : {kConfig, kWorld}) store_->set_aside(kind, "lives that used it were short");
+        for (const char* kind : {kConfig, kWorld})
+            store_->quarantine_all(kind, "lives that used it were short");
     }
     if (const auto record = store_->load(kConfig, sense_of_config)) {
         const json j = json::parse(record->payload);
@@ -204,7 +204,7 @@
             if (s.ejected_for > 0 || s.latency_ratio > 0) r.snapshots.push_back(std::move(s));
         }
     }
-    writer_ = std::make_unique<storage::Writer>(folder_, store_);
+    writer_ = std::make_unique<storage::BackgroundWriter>(folder_, store_);
     return r;
 }
 
--- a/src/recovery/state_store.hpp
+++ b/src/recovery/state_store.hpp
@@ -49,7 +49,7 @@
 
     // One that can't have its folder keeps nothing, and says why.
     static std::unique_ptr<StateStore> open(const std::string& path);
-    StateStore(std::shared_ptr<storage::Folder> folder, Now now);
+    StateStore(std::shared_ptr<storage::Directory> folder, Now now);
 
     RecoveredState recover();  // once, first
 
@@ -61,14 +61,16 @@
 
     bool usable() const { return unusable_reason_.empty() && writer_; }
     const std::string& unusable_reason() const { return unusable_reason_; }  // it is not
-    storage::Writer::Counts counts() const { return writer_ ? writer_->counts() : storage::Writer::Counts(); }
+    storage::BackgroundWriter::Counts counts() const {
+        return writer_ ? writer_->counts() : storage::BackgroundWriter::Counts();
+    }
     bool settled() { return !writer_ || writer_->settled(std::chrono::milliseconds(0)); }
 
 private:
-    std::shared_ptr<storage::Folder> folder_;
+    std::shared_ptr<storage::Directory> folder_;
     Now now_;
-    std::shared_ptr<storage::Store> store_;
-    std::unique_ptr<storage::Writer> writer_;  // from recover() on the store is its own
+    std::shared_ptr<storage::RecordStore> store_;
+    std::unique_ptr<storage::BackgroundWriter> writer_;  // from recover() on the store is its own
     std::string last_endpoints_, last_config_;
     std::string unusable_reason_;
 };
--- a/src/storage/background_writer.cpp
+++ b/src/storage/background_writer.cpp
@@ -5,63 +5,63 @@
 namespace ochregrade::storage {
 
 namespace {
-constexpr int kMostDoublings = 6;
-constexpr std::chrono::seconds kPatience{1};
+constexpr int kMaxBackoffDoublings = 6;
+constexpr std::chrono::seconds kShutdownTimeout{1};
 }  // namespace
 
-Writer::Writer(std::shared_ptr<Folder> folder, std::shared_ptr<Store> store,
-               std::chrono::milliseconds first_wait)
+BackgroundWriter::BackgroundWriter(std::shared_ptr<Directory> directory, std::shared_ptr<RecordStore> store,
+                                   std::chrono::milliseconds first_backoff)
     : shared_(std::make_shared<Shared>()) {
-    shared_->folder = std::move(folder);
+    shared_->directory = std::move(directory);
     shared_->store = std::move(store);
-    shared_->first_wait = first_wait;
+    shared_->first_backoff = first_backoff;
     thread_ = std::thread([shared = shared_] { run(shared); });
 }
 
-Writer::~Writer() {
+BackgroundWriter::~BackgroundWriter() {
     std::unique_lock lock(shared_->mutex);
     shared_->stop = true;
     shared_->changed.notify_all();
-    const bool ended = shared_->changed.wait_for(lock, kPatience, [&] { return shared_->ended; });
+    const bool ended = shared_->changed.wait_for(lock, kShutdownTimeout, [&] { return shared_->ended; });
     lock.unlock();
     if (ended)
         thread_.join();
     else
-        thread_.detach();  // stuck in the kernel; it holds all that it uses
+        thread_.detach();  // stuck in the kernel; it shares ownership of all that it uses
 }
 
-void Writer::submit(const std::string& kind, std::string payload) {
+void BackgroundWriter::submit(const std::string& kind, std::string payload) {
     const std::lock_guard lock(shared_->mutex);
-    const auto [at, fresh] = shared_->waiting.insert_or_assign(kind, std::move(payload));
-    if (!fresh) ++shared_->counts.coalesced;
+    const auto [entry, inserted] = shared_->pending.insert_or_assign(kind, std::move(payload));
+    if (!inserted) ++shared_->counts.coalesced;
     shared_->changed.notify_all();
 }
 
-Writer::Counts Writer::counts() const {
+BackgroundWriter::Counts BackgroundWriter::counts() const {
     const std::lock_guard lock(shared_->mutex);
     return shared_->counts;
 }
 
-bool Writer::settled(std::chrono::milliseconds within) {
+bool BackgroundWriter::settled(std::chrono::milliseconds within) {
     std::unique_lock lock(shared_->mutex);
     return shared_->changed.wait_for(lock, within,
-                                     [&] { return shared_->waiting.empty() && !shared_->writing; });
+                                     [&] { return shared_->pending.empty() && !shared_->writing; });
 }
 
-void Writer::run(const std::shared_ptr<Shared>& shared) {
+void BackgroundWriter::run(const std::shared_ptr<Shared>& shared) {
     Shared& s = *shared;
     std::unique_lock lock(s.mutex);
     int failures = 0;  // in a row
     for (;;) {
-        s.changed.wait(lock, [&] { return s.stop || !s.waiting.empty(); });
-        if (s.waiting.empty()) break;
-        auto next = s.waiting.extract(s.waiting.begin());
+        s.changed.wait(lock, [&] { return s.stop || !s.pending.empty(); });
+        if (s.pending.empty()) break;
+        auto next = s.pending.extract(s.pending.begin());
         s.writing = true;
         lock.unlock();
-        const int error = s.store->save(next.key(), next.mapped());
+        const std::error_code error = s.store->save(next.key(), next.mapped());
         lock.lock();
         s.writing = false;
-        s.counts.last_error = error;
+        s.counts.last_error = error.value();
         if (!error) {
             failures = 0;
             ++s.counts.written;
@@ -70,13 +70,13 @@
             continue;
         }
         ++s.counts.failed;
-        if (s.stop) {  // once is enough now
-            s.waiting.erase(next.key());
+        if (s.stop) {  // no retry during shutdown
+            s.pending.erase(next.key());
             continue;
         }
-        s.waiting.insert(std::move(next));  // unless a newer one waits by now
-        const auto wait = s.first_wait * (1 << std::min(failures++, kMostDoublings));
-        s.changed.wait_for(lock, wait, [&] { return s.stop; });
+        s.pending.insert(std::move(next));  // unless a newer one is pending by now
+        const auto backoff = s.first_backoff * (1 << std::min(failures++, kMaxBackoffDoublings));
+        s.changed.wait_for(lock, backoff, [&] { return s.stop; });
     }
     s.ended = true;
     s.changed.notify_all();
--- a/src/storage/background_writer.hpp
+++ b/src/storage/background_writer.hpp
@@ -1,5 +1,6 @@
-// Writes off the event loop: one at a time, on a thread of its own. Of each kind only the newest state waits,
-// so a slow disk costs age and no memory. What fails is tried again, later each time.
+// Writes records on a thread of its own, one at a time, so that the event loop never waits for the disk. Of
+// each kind only the newest payload is pending: a slow disk makes the stored state older but takes no memory.
+// Failed writes are retried with exponential backoff.
 #pragma once
 
 #include <chrono>
@@ -14,33 +15,36 @@
 
 namespace ochregrade::storage {
 
-class Writer {
+class BackgroundWriter {
 public:
     struct Counts {
         std::uint64_t written = 0, failed = 0, coalesced = 0, bytes = 0;
-        int last_error = 0;  // of the last write; 0: it succeeded
+        int last_error = 0;  // errno of the last write; 0: it succeeded
     };
     using Clock = std::chrono::steady_clock;
 
-    // Both must outlive the writer, unless they are only its own.
-    Writer(std::shared_ptr<Folder> folder, std::shared_ptr<Store> store,
-           std::chrono::milliseconds first_wait = std::chrono::milliseconds(1000));
-    // What waits is written once more. A disk that does not answer is given up after a second.
-    ~Writer();
+    BackgroundWriter(std::shared_ptr<Directory> directory, std::shared_ptr<RecordStore> store,
+                     std::chrono::milliseconds first_backoff = std::chrono::milliseconds(1000));
+    /// Tries once more to write what is pending, but waits for at most a second.
+    ~BackgroundWriter();
+    BackgroundWriter(const BackgroundWriter&) = delete;
+    BackgroundWriter& operator=(const BackgroundWriter&) = delete;
 
-    void submit(const std::string& kind, std::string payload);  // never waits for the disk
+    /// Replaces a pending payload of the kind. Never waits for the disk.
+    void submit(const std::string& kind, std::string payload);
     Counts counts() const;
-    // All that was submitted is on the disk, or its time is over.
+    /// Waits until everything submitted is on the disk; false: not within that time.
     bool settled(std::chrono::milliseconds within);
 
 private:
+    /// Owned by the thread too, which may outlive this object if the disk does not answer.
     struct Shared {
-        std::shared_ptr<Folder> folder;
-        std::shared_ptr<Store> store;
-        std::chrono::milliseconds first_wait;
+        std::shared_ptr<Directory> directory;
+        std::shared_ptr<RecordStore> store;
+        std::chrono::milliseconds first_backoff;
         std::mutex mutex;
         std::condition_variable changed;
-        std::map<std::string, std::string> waiting;
+        std::map<std::string, std::string> pending;  // payload by kind
         bool writing = false, stop = false, ended = false;
         Counts counts;
     };
--- a/src/storage/directory.cpp
+++ b/src/storage/directory.cpp
@@ -12,7 +12,12 @@
 
 namespace {
 
-constexpr std::size_t kLongestFile = 64 << 20;  // nothing of ours is near that
+constexpr std::size_t kMaxFileBytes = 64 << 20;  // far beyond any record
+constexpr std::size_t kReadBytes = 65536;
+
+std::error_code error_of(int error_number) { return {error_number, std::generic_category()}; }
+std::error_code last_error() { return error_of(errno); }
+std::error_code result_of(int returned) { return returned < 0 ? last_error() : std::error_code(); }
 
 class Descriptor {
 public:
@@ -20,10 +25,10 @@
     ~Descriptor() { reset(); }
     Descriptor(const Descriptor&) = delete;
     Descriptor& operator=(const Descriptor&) = delete;
-    int reset(int fd = -1) {
-        const int result = fd_ >= 0 ? ::close(fd_) : 0;
+    std::error_code reset(int fd = -1) {
+        const int closed = fd_ >= 0 ? ::close(fd_) : 0;
         fd_ = fd;
-        return result == 0 ? 0 : errno;
+        return result_of(closed);
     }
     int get() const { return fd_; }
 
@@ -31,91 +36,98 @@
     int fd_;
 };
 
-int result(int returned) { return returned < 0 ? errno : 0; }
+struct CloseDirectory {
+    void operator()(DIR* directory) const { ::closedir(directory); }
+};
 
-class RealFolder : public Folder {
+class FileSystemDirectory : public Directory {
 public:
-    explicit RealFolder(int fd) : folder_(fd) {}
+    explicit FileSystemDirectory(int fd) : directory_(fd) {}
 
-    int list(std::vector<std::string>& names) override {
+    std::error_code list(std::vector<std::string>& names) override {
         names.clear();
-        const int copy = ::openat(folder_.get(), ".", O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-        if (copy < 0) return errno;
-        DIR* open = ::fdopendir(copy);
-        if (!open) {
-            const int error = errno;
+        const int copy = ::openat(directory_.get(), ".", O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+        if (copy < 0) return last_error();
+        const std::unique_ptr<DIR, CloseDirectory> stream(::fdopendir(copy));
+        if (!stream) {
+            const std::error_code error = last_error();
             ::close(copy);
             return error;
         }
         errno = 0;
-        while (const dirent* entry = ::readdir(open)) {
-            struct stat about {};
-            if (::fstatat(folder_.get(), entry->d_name, &about, AT_SYMLINK_NOFOLLOW) == 0 &&
-                S_ISREG(about.st_mode))
-                names.emplace_back(entry->d_name);
+        while (const dirent* entry = ::readdir(stream.get())) {
+            if (is_regular_file(entry->d_name)) names.emplace_back(entry->d_name);
             errno = 0;
         }
-        const int error = errno;
-        ::closedir(open);
-        return error;
+        return last_error();
     }
 
-    int read(const std::string& name, std::string& bytes) override {
+    std::error_code read(const std::string& name, std::string& bytes) override {
         bytes.clear();
-        const Descriptor file(::openat(folder_.get(), name.c_str(), O_RDONLY | O_CLOEXEC | O_NOFOLLOW));
-        if (file.get() < 0) return errno;
-        char part[65536];
+        const Descriptor file(::openat(directory_.get(), name.c_str(), O_RDONLY | O_CLOEXEC | O_NOFOLLOW));
+        if (file.get() < 0) return last_error();
+        char part[kReadBytes];
         for (;;) {
-            const ssize_t n = ::read(file.get(), part, sizeof part);
-            if (n < 0 && errno == EINTR) continue;
-            if (n < 0) return errno;
-            if (n == 0) return 0;
-            bytes.append(part, static_cast<std::size_t>(n));
-            if (bytes.size() > kLongestFile) return EFBIG;
+            const ssize_t size = ::read(file.get(), part, sizeof part);
+            if (size < 0 && errno == EINTR) continue;
+            if (size < 0) return last_error();
+            if (size == 0) return {};
+            bytes.append(part, static_cast<std::size_t>(size));
+            if (bytes.size() > kMaxFileBytes) return error_of(EFBIG);
         }
     }
 
-    int create(const std::string& name) override {
-        open_.reset(::openat(folder_.get(), name.c_str(),
-                             O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC | O_NOFOLLOW, 0600));
-        return open_.get() < 0 ? errno : 0;
+    std::error_code create(const std::string& name) override {
+        constexpr int kFlags = O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC | O_NOFOLLOW;
+        const int fd = ::openat(directory_.get(), name.c_str(), kFlags, 0600);
+        const std::error_code error = result_of(fd);
+        open_file_.reset(fd);
+        return error;
     }
 
-    int write(std::string_view bytes) override {
+    std::error_code write(std::string_view bytes) override {
         while (!bytes.empty()) {
-            const ssize_t n = ::write(open_.get(), bytes.data(), bytes.size());
-            if (n < 0 && errno == EINTR) continue;
-            if (n < 0) return errno;
-            bytes.remove_prefix(static_cast<std::size_t>(n));
+            const ssize_t size = ::write(open_file_.get(), bytes.data(), bytes.size());
+            if (size < 0 && errno == EINTR) continue;
+            if (size < 0) return last_error();
+            bytes.remove_prefix(static_cast<std::size_t>(size));
         }
-        return 0;
+        return {};
     }
 
-    int sync() override { return result(::fsync(open_.get())); }
-    int close() override { return open_.reset(); }
-    int rename(const std::string& from, const std::string& to) override {
-        return result(::renameat(folder_.get(), from.c_str(), folder_.get(), to.c_str()));
+    std::error_code sync() override { return result_of(::fsync(open_file_.get())); }
+    std::error_code close() override { return open_file_.reset(); }
+    std::error_code rename(const std::string& from, const std::string& to) override {
+        return result_of(::renameat(directory_.get(), from.c_str(), directory_.get(), to.c_str()));
     }
-    int remove(const std::string& name) override {
-        return result(::unlinkat(folder_.get(), name.c_str(), 0));
+    std::error_code remove(const std::string& name) override {
+        return result_of(::unlinkat(directory_.get(), name.c_str(), 0));
     }
-    int sync_folder() override { return result(::fsync(folder_.get())); }
+    std::error_code sync_directory() override { return result_of(::fsync(directory_.get())); }
 
 private:
-    Descriptor folder_, open_;
+    bool is_regular_file(const char* name) const {
+        struct stat status {};
+        return ::fstatat(directory_.get(), name, &status, AT_SYMLINK_NOFOLLOW) == 0 &&
+               S_ISREG(status.st_mode);
+    }
+
+    Descriptor directory_;
+    Descriptor open_file_;
 };
 
 }  // namespace
 
-OpenedFolder open_folder(const std::string& path) {
+OpenedDirectory open_directory(const std::string& path) {
+    // One that can't be created may still exist, on a file system that is read-only.
     if (::mkdir(path.c_str(), 0700) != 0 && errno != EEXIST && errno != EROFS && errno != EACCES)
-        return {nullptr, errno};
+        return {nullptr, last_error()};
     const int fd = ::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-    if (fd < 0) return {nullptr, errno};
-    auto folder = std::make_unique<RealFolder>(fd);
-    // On the folder and not on a file in it: that works where nothing can be written, too.
-    if (::flock(fd, LOCK_EX | LOCK_NB) != 0) return {nullptr, errno};
-    return {std::move(folder), 0};
+    if (fd < 0) return {nullptr, last_error()};
+    auto directory = std::make_unique<FileSystemDirectory>(fd);
+    // The lock is on the directory and not on a file in it: that works on a read-only file system too.
+    if (::flock(fd, LOCK_EX | LOCK_NB) != 0) return {nullptr, last_error()};
+    return {std::move(directory), {}};
 }
 
 }  // namespace ochregrade::storage
--- a/src/storage/directory.hpp
+++ b/src/storage/directory.hpp
@@ -1,37 +1,43 @@
-// One folder of files, as little of a file system as the store needs. What is not here is not relied on.
-// Every call answers with 0 or an errno, so that a full disk is a value and no surprise.
+// A directory of files: the small part of a file system that the record store needs. What is not here is not
+// relied on. Every call reports failure as a std::error_code (generic category: errno), so that a full disk
+// is an ordinary result.
 #pragma once
 
 #include <memory>
 #include <string>
 #include <string_view>
+#include <system_error>
 #include <vector>
 
 namespace ochregrade::storage {
 
-class Folder {
+class Directory {
 public:
-    virtual ~Folder() = default;
+    virtual ~Directory() = default;
 
-    virtual int list(std::vector<std::string>& names) = 0;  // of the files in it, in no order
-    virtual int read(const std::string& name, std::string& bytes) = 0;
-    // A new file, or an old one emptied. One file is open at a time.
-    virtual int create(const std::string& name) = 0;
-    virtual int write(std::string_view bytes) = 0;  // all of them, or an error
-    virtual int sync() = 0;                         // the open file's content is on the disk
-    virtual int close() = 0;
-    // Atomic; what had the name is gone.
-    virtual int rename(const std::string& from, const std::string& to) = 0;
-    virtual int remove(const std::string& name) = 0;
-    virtual int sync_folder() = 0;  // names are on the disk: creations, renames and removals so far
+    /// Names of the regular files, in no order.
+    virtual std::error_code list(std::vector<std::string>& names) = 0;
+    virtual std::error_code read(const std::string& name, std::string& bytes) = 0;
+    /// Creates a file or truncates an existing one. One file is open at a time.
+    virtual std::error_code create(const std::string& name) = 0;
+    /// Writes all bytes to the open file, or fails.
+    virtual std::error_code write(std::string_view bytes) = 0;
+    /// The content of the open file is durable afterwards.
+    virtual std::error_code sync() = 0;
+    virtual std::error_code close() = 0;
+    /// Atomic; replaces a file of the new name.
+    virtual std::error_code rename(const std::string& from, const std::string& to) = 0;
+    virtual std::error_code remove(const std::string& name) = 0;
+    /// Creations, renames and removals so far are durable afterwards.
+    virtual std::error_code sync_directory() = 0;
 };
 
-// A real folder, made if it is not there, and locked: one process at a time has it. The lock is on the folder
-// itself and goes with the process, however that ends.
-struct OpenedFolder {
-    std::unique_ptr<Folder> folder;  // none: error says why
-    int error = 0;                   // EWOULDBLOCK: another process has it
+struct OpenedDirectory {
+    std::unique_ptr<Directory> directory;  // null: see error
+    std::error_code error;                 // operation_would_block: another process has it
 };
-OpenedFolder open_folder(const std::string& path);
+/// Opens a directory of the file system, created if missing, and locks it for this process. The lock is on
+/// the directory itself and ends with the process, however that ends.
+OpenedDirectory open_directory(const std::string& path);
 
 }  // namespace ochregrade::storage
--- a/src/storage/record_store.cpp
+++ b/src/storage/record_store.cpp
@@ -3,15 +3,14 @@
 #include <algorithm>
 #include <boost/crc.hpp>
 #include <charconv>
-#include <cstring>
 
 namespace ochregrade::storage {
 
 namespace {
 
 constexpr std::string_view kMagic = "KELPREC1";
-constexpr std::string_view kEnding = ".rec", kHalf = "half-", kBad = "bad-";
-constexpr std::size_t kDigits = 20, kLongestKind = 32;
+constexpr std::string_view kSuffix = ".rec", kUnfinishedPrefix = "half-", kQuarantinePrefix = "bad-";
+constexpr std::size_t kSequenceDigits = 20, kMaxKindLength = 32;
 
 using Crc32c = boost::crc_optimal<32, 0x1EDC6F41, 0xFFFFFFFF, 0xFFFFFFFF, true, true>;
 
@@ -26,7 +25,7 @@
     for (std::size_t i = 0; i < sizeof value; ++i) out += static_cast<char>(value >> (8 * i) & 0xff);
 }
 
-// Takes a number off the front; false if there is too little.
+// Reads a number from the front; false: there are too few bytes.
 template <class T>
 bool take(std::string_view& in, T& value) {
     if (in.size() < sizeof value) return false;
@@ -43,8 +42,8 @@
     return true;
 }
 
-bool good_kind(std::string_view kind) {
-    return !kind.empty() && kind.size() <= kLongestKind &&
+bool is_valid_kind(std::string_view kind) {
+    return !kind.empty() && kind.size() <= kMaxKindLength &&
            std::all_of(kind.begin(), kind.end(), [](char c) { return c >= 'a' && c <= 'z'; });
 }
 
@@ -63,150 +62,166 @@
 }
 
 Decoded decode(std::string_view bytes) {
-    const auto damaged = [](const char* why) { return Decoded{{}, Fault::damaged, why}; };
+    const auto damaged = [](const char* reason) { return Decoded{{}, DecodeError::damaged, reason}; };
     std::uint32_t version = 0, kind_length = 0, sum = 0;
     if (bytes.empty()) return damaged("it is empty");
     if (bytes.size() < kMagic.size() + 4 || bytes.substr(0, kMagic.size()) != kMagic)
         return damaged("it does not begin as a record does");
-    // The sum first: nothing else in a damaged record means anything, its version neither.
+    // The checksum first: nothing in a damaged record can be trusted, not even its version.
     std::string_view end = bytes.substr(bytes.size() - 4);
     const std::string_view all = bytes.substr(0, bytes.size() - 4);
     take(end, sum);
     if (sum != crc32c(all)) return damaged("its checksum is wrong");
     std::string_view in = all.substr(kMagic.size());
     if (!take(in, version)) return damaged("it is too short");
-    if (version > kVersion) return {{}, Fault::newer, "version " + std::to_string(version)};
-    Decoded d;
+    if (version > kVersion) return {{}, DecodeError::newer_version, "version " + std::to_string(version)};
+    Decoded decoded;
     std::uint64_t length = 0;
-    if (!take(in, kind_length) || !take(in, kind_length, d.record.kind) || !take(in, d.record.sequence) ||
-        !take(in, length) || !take(in, length, d.record.payload) || !in.empty())
+    if (!take(in, kind_length) || !take(in, kind_length, decoded.record.kind) ||
+        !take(in, decoded.record.sequence) || !take(in, length) ||
+        !take(in, length, decoded.record.payload) || !in.empty())
         return damaged("its lengths do not fit");
-    return d;
+    return decoded;
 }
 
-Store::Store(Folder& folder, Say say) : folder_(folder), say_(std::move(say)) {
+RecordStore::RecordStore(Directory& directory, LogCallback log)
+    : directory_(directory), log_(std::move(log)) {
     std::vector<std::string> names;
-    if (const int error = folder_.list(names))
-        say_(std::string("the folder can't be read: ") + std::strerror(error));
+    if (const std::error_code error = directory_.list(names))
+        log_("the folder can't be read: " + error.message());
     for (std::string name : names) {
-        if (name.starts_with(kHalf)) {  // it was never promised to anyone
-            folder_.remove(name);
-            name.erase(0, kHalf.size());
+        if (name.starts_with(kUnfinishedPrefix)) {
+            directory_.remove(name);
+            name.erase(0, kUnfinishedPrefix.size());
         }
-        if (name.starts_with(kBad)) name.erase(0, kBad.size());
-        if (const auto parsed = parse(name)) last_ = std::max(last_, parsed->sequence);
+        if (name.starts_with(kQuarantinePrefix)) name.erase(0, kQuarantinePrefix.size());
+        if (const auto parsed = parse(name)) last_sequence_ = std::max(last_sequence_, parsed->sequence);
     }
 }
 
-std::string Store::name_of(const std::string& kind, std::uint64_t sequence) {
+std::string RecordStore::name_of(const std::string& kind, std::uint64_t sequence) {
     const std::string digits = std::to_string(sequence);
-    return kind + "-" + std::string(kDigits - digits.size(), '0') + digits + std::string(kEnding);
+    return kind + "-" + std::string(kSequenceDigits - digits.size(), '0') + digits + std::string(kSuffix);
 }
 
-std::optional<Store::Name> Store::parse(const std::string& name) {
+std::optional<RecordStore::FileName> RecordStore::parse(const std::string& name) {
     const auto dash = name.find('-');
-    if (dash == std::string::npos || name.size() != dash + 1 + kDigits + kEnding.size() ||
-        !name.ends_with(kEnding) || !good_kind(std::string_view(name).substr(0, dash)))
+    if (dash == std::string::npos || name.size() != dash + 1 + kSequenceDigits + kSuffix.size() ||
+        !name.ends_with(kSuffix) || !is_valid_kind(std::string_view(name).substr(0, dash)))
         return {};
-    Name n{name.substr(0, dash), 0};
+    FileName result{name.substr(0, dash), 0};
     const char* first = name.data() + dash + 1;
-    const auto parsed = std::from_chars(first, first + kDigits, n.sequence);
-    if (parsed.ec != std::errc() || parsed.ptr != first + kDigits) return {};
-    return n;
+    const auto parsed = std::from_chars(first, first + kSequenceDigits, result.sequence);
+    if (parsed.ec != std::errc() || parsed.ptr != first + kSequenceDigits) return {};
+    return result;
 }
 
-std::optional<Record> Store::load(const std::string& kind,
-                                  const std::function<std::string(const Record&)>& sense) {
+std::optional<Record> RecordStore::load(const std::string& kind, const Validator& validate) {
     std::vector<std::string> names;
-    folder_.list(names);
+    directory_.list(names);
     std::erase_if(names, [&](const std::string& name) {
         const auto parsed = parse(name);
         return !parsed || parsed->kind != kind;
     });
-    std::sort(names.rbegin(), names.rend());  // the digits are as many everywhere
+    std::sort(names.rbegin(), names.rend());  // newest first: all sequences have the same number of digits
     std::optional<Record> newest;
-    std::vector<std::uint64_t>& ours = ours_[kind];
-    ours.clear();
+    std::vector<std::uint64_t>& sequences = sequences_[kind];
+    sequences.clear();
     for (const std::string& name : names) {
         std::string bytes;
-        if (const int error = folder_.read(name, bytes)) {  // perhaps another time
-            say_(name + " can't be read: " + std::strerror(error));
+        if (const std::error_code error = directory_.read(name, bytes)) {  // may succeed another time
+            log_(name + " can't be read: " + error.message());
             continue;
         }
-        Decoded d = decode(bytes);
-        if (d.fault == Fault::newer) {
-            say_(name + " is left alone: it is of a newer " + d.why);
+        Decoded decoded = decode(bytes);
+        if (decoded.error == DecodeError::newer_version) {
+            log_(name + " is left alone: it is of a newer " + decoded.reason);
             continue;
         }
         const std::uint64_t sequence = parse(name)->sequence;
-        if (d.fault == Fault::none && (d.record.kind != kind || d.record.sequence != sequence))
-            d.fault = Fault::damaged, d.why = "it is not what its name says";
-        // The older ones are not looked at for sense: what an older program accepted is no fault of the file.
-        if (d.fault == Fault::none && !newest) d.why = sense(d.record);
-        if (!d.why.empty()) {
-            put_aside(name, d.why);
+        const bool intact = decoded.error == DecodeError::none;
+        if (intact && (decoded.record.kind != kind || decoded.record.sequence != sequence))
+            decoded.reason = "it is not what its name says";
+        else if (intact && !newest)  // older ones are not validated: they were valid for an older program
+            decoded.reason = validate(decoded.record);
+        if (!decoded.reason.empty()) {
+            quarantine(name, decoded.reason);
             continue;
         }
-        ours.insert(ours.begin(), sequence);
-        if (!newest) newest = std::move(d.record);
+        sequences.insert(sequences.begin(), sequence);
+        if (!newest) newest = std::move(decoded.record);
     }
     return newest;
 }
 
-void Store::put_aside(const std::string& name, const std::string& why) {
-    say_(name + " is not used and set aside: " + why);
-    if (const int error = folder_.rename(name, std::string(kBad) + name))
-        return say_(name + " can't be set aside: " + std::strerror(error));
+void RecordStore::quarantine(const std::string& name, const std::string& reason) {
+    log_(name + " is not used and set aside: " + reason);
+    if (const std::error_code error = directory_.rename(name, std::string(kQuarantinePrefix) + name)) {
+        log_(name + " can't be set aside: " + error.message());
+        return;
+    }
+    limit_quarantine();
+    directory_.sync_directory();
+}
+
+// Deletes the oldest by sequence, whatever their kind.
+void RecordStore::limit_quarantine() {
     std::vector<std::string> names;
-    folder_.list(names);
-    std::erase_if(names, [](const std::string& n) { return !n.starts_with(kBad); });
-    std::sort(names.begin(), names.end(), [](const std::string& a, const std::string& b) {
-        return a.substr(a.find('-', kBad.size())) < b.substr(b.find('-', kBad.size()));
+    directory_.list(names);
+    std::erase_if(names, [](const std::string& name) { return !name.starts_with(kQuarantinePrefix); });
+    const auto sequence_part = [](const std::string& name) {
+        return name.substr(name.find('-', kQuarantinePrefix.size()));
+    };
+    std::sort(names.begin(), names.end(), [&](const std::string& a, const std::string& b) {
+        return sequence_part(a) < sequence_part(b);
     });
-    for (std::size_t i = 0; i + kAside < names.size(); ++i) {
-        say_(names[i] + " is deleted: more than " + std::to_string(kAside) + " files are set aside");
-        folder_.remove(names[i]);
+    for (std::size_t i = 0; i + kMaxQuarantined < names.size(); ++i) {
+        log_(names[i] + " is deleted: more than " + std::to_string(kMaxQuarantined) + " files are set aside");
+        directory_.remove(names[i]);
     }
-    folder_.sync_folder();
 }
 
-void Store::set_aside(const std::string& kind, const std::string& why) {
+void RecordStore::quarantine_all(const std::string& kind, const std::string& reason) {
     std::vector<std::string> names;
-    folder_.list(names);
+    directory_.list(names);
     for (const std::string& name : names)
-        if (const auto parsed = parse(name); parsed && parsed->kind == kind) put_aside(name, why);
-    ours_[kind].clear();
-}
-
-int Store::save(const std::string& kind, const std::string& payload) {
-    // A number is used once, whether that succeeded or not: a file that may be half there is never met again.
-    const std::uint64_t sequence = ++last_;
-    const std::string name = name_of(kind, sequence), half = std::string(kHalf) + name;
-    int error = folder_.create(half);
-    if (!error) {
-        error = folder_.write(encode({kind, sequence, payload}));
-        // An error here means that the data is not on the disk, and asking again would not say so again.
-        if (!error) error = folder_.sync();
-        const int closed = folder_.close();
-        if (!error) error = closed;
-    }
-    if (!error) error = folder_.rename(half, name);
+        if (const auto parsed = parse(name); parsed && parsed->kind == kind) quarantine(name, reason);
+    sequences_[kind].clear();
+}
+
+// Durable on success; on failure the file may be there in part.
+std::error_code RecordStore::write_file(const std::string& name, const std::string& bytes) {
+    if (const std::error_code error = directory_.create(name)) return error;
+    std::error_code error = directory_.write(bytes);
+    // A failed sync means that the data is not on the disk, and a second sync would not report that again.
+    if (!error) error = directory_.sync();
+    const std::error_code closed = directory_.close();
+    return error ? error : closed;
+}
+
+std::error_code RecordStore::save(const std::string& kind, const std::string& payload) {
+    // A sequence is used once, also if saving fails: a partly written file never gets in the way.
+    const std::uint64_t sequence = ++last_sequence_;
+    const std::string name = name_of(kind, sequence);
+    const std::string unfinished = std::string(kUnfinishedPrefix) + name;
+    std::error_code error = write_file(unfinished, encode({kind, sequence, payload}));
+    if (!error) error = directory_.rename(unfinished, name);
     if (error) {
-        folder_.remove(half);
+        directory_.remove(unfinished);
         return error;
     }
-    // Until this has succeeded the older ones stay: the new name may not outlive a loss of power.
-    error = folder_.sync_folder();
-    ours_[kind].push_back(sequence);
+    // The older records stay until this succeeds: without it the new name may not survive a loss of power.
+    error = directory_.sync_directory();
+    sequences_[kind].push_back(sequence);
     if (!error) prune(kind);
     return error;
 }
 
-void Store::prune(const std::string& kind) {
-    std::vector<std::uint64_t>& ours = ours_[kind];
-    while (ours.size() > kKept) {
-        folder_.remove(name_of(kind, ours.front()));
-        ours.erase(ours.begin());
+void RecordStore::prune(const std::string& kind) {
+    std::vector<std::uint64_t>& sequences = sequences_[kind];
+    while (sequences.size() > kMaxRecords) {
+        directory_.remove(name_of(kind, sequences.front()));
+        sequences.erase(sequences.begin());
     }
 }
 
--- a/src/storage/record_store.hpp
+++ b/src/storage/record_store.hpp
@@ -1,5 +1,6 @@
-// Durable state: whole records in files of their own, verified when they are read. A record is either found
-// as it was written or not used; the newest good one of a kind counts. No clock and no thread of its own.
+// Durable records: each in a file of its own, verified when it is read. A record is either found as it was
+// written or not used; the newest valid one of a kind counts. No clock and no thread of its own.
+// Source: docs/RECOVERY.md.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +9,7 @@
 #include <optional>
 #include <string>
 #include <string_view>
-#include <variant>
+#include <system_error>
 #include <vector>
 
 #include "storage/directory.hpp"
@@ -16,58 +17,65 @@
 namespace ochregrade::storage {
 
 struct Record {
-    std::string kind;  // lower-case letters; part of the file's name
+    std::string kind;  // lower-case letters; part of the file name
     std::uint64_t sequence = 0;
     std::string payload;
 };
 
-// On the disk, little-endian: "KELPREC1", u32 version, u32 length of kind, kind, u64 sequence, u64 length of
-// payload, payload, u32 CRC-32C of all before it; and nothing behind that.
+/// Format on disk, little-endian: "KELPREC1", u32 version, u32 length of kind, kind, u64 sequence, u64 length
+/// of payload, payload, u32 CRC-32C of everything before it, end of file.
 constexpr std::uint32_t kVersion = 1;
 std::string encode(const Record& record);
 
-enum class Fault { none, damaged, newer };  // newer: whole, but of a version that is not known here
+enum class DecodeError {
+    none,
+    damaged,
+    newer_version,  // intact, but written by a newer program
+};
 struct Decoded {
     Record record;
-    Fault fault = Fault::none;
-    std::string why;
+    DecodeError error = DecodeError::none;
+    std::string reason;  // of the error, for the log
 };
 Decoded decode(std::string_view bytes);
 
-class Store {
+class RecordStore {
 public:
-    using Say = std::function<void(const std::string&)>;
-    static constexpr std::size_t kKept = 3;    // records of a kind
-    static constexpr std::size_t kAside = 16;  // files set aside; beyond that the oldest go, which is said
+    using LogCallback = std::function<void(const std::string& line)>;
+    /// Returns why the record can't be used; empty: it can.
+    using Validator = std::function<std::string(const Record&)>;
+    static constexpr std::size_t kMaxRecords = 3;       // retained of each kind
+    static constexpr std::size_t kMaxQuarantined = 16;  // beyond that the oldest are deleted, which is logged
 
-    // Looks at what is there: half-written files go, numbers go on from the highest.
-    Store(Folder& folder, Say say);
+    /// Deletes unfinished files and continues after the highest sequence found. `directory` must outlive
+    /// this.
+    RecordStore(Directory& directory, LogCallback log);
 
-    // The newest record of the kind that is whole and that makes sense: `sense` gives a complaint or nothing.
-    // What is damaged or makes none is set aside under another name; what a newer version wrote is left
-    // alone.
-    std::optional<Record> load(const std::string& kind,
-                               const std::function<std::string(const Record&)>& sense);
-    // All records of the kind are set aside.
-    void set_aside(const std::string& kind, const std::string& why);
+    /// The newest valid record of the kind. Damaged and rejected ones are quarantined (renamed); those
+    /// written by a newer program are left alone.
+    std::optional<Record> load(const std::string& kind, const Validator& validate);
+    /// Quarantines all records of the kind.
+    void quarantine_all(const std::string& kind, const std::string& reason);
 
-    // 0: it is on the disk and will be found. Else an errno: what was there before will be found, or this.
-    int save(const std::string& kind, const std::string& payload);
+    /// Success: the record is durable and will be found. Failure: the earlier one will be found, or this one.
+    std::error_code save(const std::string& kind, const std::string& payload);
 
 private:
-    struct Name {
+    struct FileName {
         std::string kind;
         std::uint64_t sequence = 0;
     };
     static std::string name_of(const std::string& kind, std::uint64_t sequence);
-    static std::optional<Name> parse(const std::string& name);
-    void put_aside(const std::string& name, const std::string& why);
+    static std::optional<FileName> parse(const std::string& name);
+    std::error_code write_file(const std::string& name, const std::string& bytes);
+    void quarantine(const std::string& name, const std::string& reason);
+    void limit_quarantine();
     void prune(const std::string& kind);
 
-    Folder& folder_;
-    Say say_;
-    std::uint64_t last_ = 0;                                  // the highest number met
-    std::map<std::string, std::vector<std::uint64_t>> ours_;  // records known to be good, oldest first
+    Directory& directory_;
+    LogCallback log_;
+    std::uint64_t last_sequence_ = 0;                              // the highest ever seen or used
+    std::map<std::string, std::vector<std::uint64_t>> sequences_;  // valid records by kind, oldest first
 };
 
 }  // namespace ochregrade::storage
--- a/tests/recovery/recorded_bytes_test.cpp
+++ b/tests/recovery/recorded_bytes_test.cpp
@@ -164,9 +164,9 @@
 };
 
 std::unique_ptr<StateStore> keeper_of(const fs::path& path, const Timestamps& now) {
-    storage::OpenedFolder opened = storage::open_folder(path.string());
-    EXPECT_TRUE(opened.folder) << path << " error " << opened.error;
-    return std::make_unique<StateStore>(std::move(opened.folder), [now] { return now; });
+    storage::OpenedDirectory opened = storage::open_directory(path.string());
+    EXPECT_TRUE(opened.directory) << path << " error " << opened.error;
+    return std::make_unique<StateStore>(std::move(opened.directory), [now] { return now; });
 }
 
 // One record at a time, so that each has the same number every time.
@@ -223,7 +223,7 @@
     ASSERT_EQ(written.size(), before.size());
     for (const auto& [name, bytes] : before) {
         const storage::Decoded decoded = storage::decode(bytes);
-        ASSERT_EQ(decoded.fault, storage::Fault::none) << name;
+        ASSERT_EQ(decoded.error, storage::DecodeError::none) << name;
         EXPECT_EQ(storage::encode(decoded.record), bytes) << name;
         EXPECT_EQ(written.at(name), in_present_form(decoded.record)) << name;
     }
@@ -298,8 +298,8 @@
     for (const auto& [name, bytes] : files_of(recorded::path_of("state")))
         EXPECT_EQ(after[name], bytes) << name;
     ASSERT_EQ(after.size(), 5u);
-    const storage::OpenedFolder opened = storage::open_folder(folder.path.string());
-    storage::Store store(*opened.folder, [](const std::string&) {});
+    const storage::OpenedDirectory opened = storage::open_directory(folder.path.string());
+    storage::RecordStore store(*opened.directory, [](const std::string&) {});
     const auto counted = store.load("starts", [](const storage::Record&) { return std::string(); });
     ASSERT_TRUE(counted);
     EXPECT_EQ(counted->payload, R"({"starts":1})");
--- a/tests/recovery/state_store_test.cpp
+++ b/tests/recovery/state_store_test.cpp
@@ -5,7 +5,7 @@
 namespace ochregrade::sidecar {
 namespace {
 
-using storage::SimFolder;
+using storage::SimulatedDirectory;
 using State = ConfigVersions::State;
 
 const Timestamps kThen{1e12, 5e6, "boot-a"};
@@ -34,7 +34,7 @@
 
 // A keeper whose clock the test moves. What it has been given is on the disk when its life ends.
 struct Disk {
-    std::shared_ptr<SimFolder> folder = std::make_shared<SimFolder>();
+    std::shared_ptr<SimulatedDirectory> folder = std::make_shared<SimulatedDirectory>();
     Timestamps now = kThen;
     std::unique_ptr<StateStore> keeper() {
         return std::make_unique<StateStore>(folder, [this] { return now; });
@@ -142,9 +142,9 @@
              {"kept", {{{"generation", 1}, {"content_of", 1}, {"at_ms", 0}, {"config", R"({"name":5})"}}}}}
             .dump()};
     for (const std::string& payload : nonsense) {
-        storage::Store store(*disk.folder, [](const std::string&) {});
-        ASSERT_EQ(store.save("config", payload), 0);
-        ASSERT_EQ(store.save("world", payload), 0);
+        storage::RecordStore store(*disk.folder, [](const std::string&) {});
+        ASSERT_EQ(store.save("config", payload), std::error_code());
+        ASSERT_EQ(store.save("world", payload), std::error_code());
         const RecoveredState r = disk.live();
         ASSERT_TRUE(r.last_known_good) << payload;
         EXPECT_EQ(r.last_known_good->dump(), document(base())) << payload;
@@ -235,7 +235,7 @@
                          {"next", 5},
                          {"on_trial", false},
                          {"kept", json::array()}};
-    storage::Store(*disk.folder, [](const std::string&) {}).save("config", record.dump());
+    storage::RecordStore(*disk.folder, [](const std::string&) {}).save("config", record.dump());
     const Start s = decide_start(file, disk.recover());
     EXPECT_EQ(s.source, ConfigVersions::Source::recovery);
     EXPECT_EQ(s.config.settings.max_attempts, 2u);
--- a/tests/support/simulated_directory.hpp
+++ b/tests/support/simulated_directory.hpp
@@ -1,4 +1,4 @@
-// A folder that loses whatever it is allowed to lose.
+// A directory that loses whatever a file system may lose when the power fails.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -8,6 +8,7 @@
 #include <map>
 #include <memory>
 #include <string>
+#include <system_error>
 #include <vector>
 
 #include "storage/directory.hpp"
@@ -16,9 +17,9 @@
 
 struct Crash {};
 
-// A folder that distinguishes what the program sees from what is on the disk. Content is on the disk after a
-// sync of its file, names after one of the folder; until then each may have got there, or not, or in part.
-class SimFolder : public Folder {
+// Distinguishes what the program sees from what is on the disk. Content is durable after a sync of its file,
+// names after one of the directory; until then each may be on the disk, or not, or in part.
+class SimulatedDirectory : public Directory {
 public:
     struct File {
         std::string seen, kept;
@@ -39,66 +40,66 @@
     bool fail_on = false;  // every call from there on
     int calls = 0;
 
-    int list(std::vector<std::string>& names) override {
+    std::error_code list(std::vector<std::string>& names) override {
         names.clear();
         for (const auto& [name, file] : seen_) names.push_back(name);
-        return 0;
+        return {};
     }
-    int read(const std::string& name, std::string& bytes) override {
+    std::error_code read(const std::string& name, std::string& bytes) override {
         const auto at = seen_.find(name);
-        if (at == seen_.end()) return ENOENT;
+        if (at == seen_.end()) return make_error_code(std::errc::no_such_file_or_directory);
         bytes = at->second->seen;
-        return 0;
+        return {};
     }
-    int create(const std::string& name) override {
-        if (const int e = call()) return e;
+    std::error_code create(const std::string& name) override {
+        if (const std::error_code e = call()) return e;
         open_ = std::make_shared<File>();
         seen_[name] = open_;
         steps_.push_back({Step::create, name, name, open_});
-        return 0;
+        return {};
     }
-    int write(std::string_view bytes) override {
-        const int e = call();
+    std::error_code write(std::string_view bytes) override {
+        const std::error_code e = call();
         open_->seen += e ? bytes.substr(0, bytes.size() / 2) : bytes;
         open_->clean = false;
         return e;
     }
-    int sync() override {
-        if (const int e = call()) {
+    std::error_code sync() override {
+        if (const std::error_code e = call()) {
             open_->poisoned = true;
             return e;
         }
         if (!open_->poisoned) open_->kept = open_->seen, open_->clean = true;
-        return 0;
+        return {};
     }
-    int close() override {
+    std::error_code close() override {
         open_.reset();
-        return 0;
+        return {};
     }
-    int rename(const std::string& from, const std::string& to) override {
-        if (const int e = call()) return e;
+    std::error_code rename(const std::string& from, const std::string& to) override {
+        if (const std::error_code e = call()) return e;
         const auto at = seen_.find(from);
-        if (at == seen_.end()) return ENOENT;
+        if (at == seen_.end()) return make_error_code(std::errc::no_such_file_or_directory);
         seen_[to] = at->second;
         seen_.erase(from);
         steps_.push_back({Step::rename, from, to, nullptr});
-        return 0;
+        return {};
     }
-    int remove(const std::string& name) override {
-        if (const int e = call()) return e;
-        if (seen_.erase(name) == 0) return ENOENT;
+    std::error_code remove(const std::string& name) override {
+        if (const std::error_code e = call()) return e;
+        if (seen_.erase(name) == 0) return make_error_code(std::errc::no_such_file_or_directory);
         steps_.push_back({Step::remove, name, "", nullptr});
-        return 0;
+        return {};
     }
-    int sync_folder() override {
-        if (const int e = call()) return e;
+    std::error_code sync_directory() override {
+        if (const std::error_code e = call()) return e;
         kept_ = seen_;
         steps_.clear();
-        return 0;
+        return {};
     }
 
-    // Every folder that may be found after the power is back.
-    void for_each_survivor(const std::function<void(SimFolder&)>& look) const {
+    // Every directory that may be found after the power is back.
+    void for_each_survivor(const std::function<void(SimulatedDirectory&)>& look) const {
         ASSERT_LE(steps_.size(), 10u);
         for (std::uint32_t chosen = 0; chosen < (1u << steps_.size()); ++chosen) {
             Names names = kept_;
@@ -119,7 +120,7 @@
                 if (!file->clean) unsure.push_back(file);
             ASSERT_LE(unsure.size(), 4u);
             for (std::uint32_t way = 0; way < (1u << (2 * unsure.size())); ++way) {
-                SimFolder after;
+                SimulatedDirectory after;
                 for (const auto& [name, file] : names) {
                     std::string content = file->kept;
                     for (std::size_t u = 0; u < unsure.size(); ++u)
@@ -148,11 +149,11 @@
                 return file.seen.substr(0, half) + std::string(file.seen.size() - half, '\0');
         }
     }
-    int call() {
+    std::error_code call() {
         if (calls == crash_at) throw Crash();
         const bool fails = calls == fail_at || (fail_on && calls > fail_at && fail_at >= 0);
         ++calls;
-        return fails ? fail_with : 0;
+        return fails ? std::error_code(fail_with, std::generic_category()) : std::error_code();
     }
 
     Names kept_;
