--- a/src/replication/anti_entropy.cpp
+++ b/src/replication/anti_entropy.cpp
@@ -160,7 +160,7 @@
 
 void AntiEntropy::append_states(std::vector<Item>& items, const std::vector<MemberId>& members) const {
     for (const MemberId id : members)
-        for (Item& item : members_.items_of(id)) items.push_back(std::move(item));
+        for (const Item& item : members_.items_of(id)) items.push_back(item);
 }
 
 // In as many datagrams as the items take, up to the limits. `last` is the header of each; its subject is set
--- a/src/replication/evidence_view.cpp
+++ b/src/replication/evidence_view.cpp
@@ -104,10 +104,12 @@
         for (const MemberId origin : origins)
             if (!asked_.count(origin)) ++endpoints_reported[origin];
     std::vector<std::pair<double, MemberId>> ranked;
+    ranked.reserve(endpoints_reported.size());
     for (const auto& [origin, endpoints] : endpoints_reported)
         ranked.emplace_back(-endpoints - random_.unit(), origin);
     std::sort(ranked.begin(), ranked.end());
     std::vector<MemberId> order;
+    order.reserve(ranked.size());
     for (const auto& [rank, origin] : ranked) order.push_back(origin);
     return order;
 }
--- a/src/replication/failure_detector.cpp
+++ b/src/replication/failure_detector.cpp
@@ -143,7 +143,7 @@
 // ---- Suspicion -------------------------------------------------------------------------------------------
 
 Millis FailureDetector::suspicion_time() const {
-    const double members = static_cast<double>(parts_.members.size());
+    const auto members = static_cast<double>(parts_.members.size());
     return probe_time() * std::max(kMinSuspicionProbes, parts_.options.suspicion * std::log2(members + 1));
 }
 
--- a/src/replication/records.cpp
+++ b/src/replication/records.cpp
@@ -41,7 +41,7 @@
     return true;
 }
 
-bool OriginState::join(std::uint32_t epoch, EndpointKey key, Record<Evidence> record) {
+bool OriginState::join(std::uint32_t epoch, EndpointKey key, const Record<Evidence>& record) {
     if (epoch < member_state_.epoch || epoch == 0) return false;
     if (epoch > member_state_.epoch) join(MemberState{epoch, 0, Status::alive});
     if (record.sequence <= floor_) return false;
@@ -53,14 +53,14 @@
             return false;
         }
         if (!record.supersedes(at->second)) return false;
-        at->second = std::move(record);
+        at->second = record;
     }
     const std::uint32_t sequence = at->second.sequence;
     trim();
     return sequence > floor_;
 }
 
-bool OriginState::join(std::uint32_t epoch, Record<Versions> record) {
+bool OriginState::join(std::uint32_t epoch, const Record<Versions>& record) {
     if (epoch < member_state_.epoch || epoch == 0) return false;
     if (epoch > member_state_.epoch) join(MemberState{epoch, 0, Status::alive});
     if (versions_ && versions_->sequence == record.sequence && versions_->value == record.value) {
@@ -68,7 +68,7 @@
         return false;
     }
     if (versions_ && !record.supersedes(*versions_)) return false;
-    versions_ = std::move(record);
+    versions_ = record;
     fingerprint_.reset();
     return true;
 }
--- a/src/replication/records.hpp
+++ b/src/replication/records.hpp
@@ -90,8 +90,8 @@
 
     /// Each returns whether anything other than an expiry or `firsthand` changed.
     bool join(const MemberState& state);
-    bool join(std::uint32_t epoch, EndpointKey key, Record<Evidence> record);
-    bool join(std::uint32_t epoch, Record<Versions> record);
+    bool join(std::uint32_t epoch, EndpointKey key, const Record<Evidence>& record);
+    bool join(std::uint32_t epoch, const Record<Versions>& record);
     bool join(const OriginState& other);
     /// Everything this epoch of the origin wrote up to this sequence has expired.
     bool raise_floor(std::uint32_t floor);
--- a/src/replication/replica.hpp
+++ b/src/replication/replica.hpp
@@ -78,7 +78,7 @@
     bool is_plausible_epoch(Millis now, std::uint32_t epoch);
 
     ReplicaCounts counts_;
-    const Options options_;
+    Options options_;
     Random random_;
     MemberTable members_;
     PingLoss ping_loss_;
