--- a/tests/replication/decode_fuzz.cpp
+++ b/tests/replication/decode_fuzz.cpp
@@ -20,19 +20,19 @@
         if (const Bytes again = encode(*d); !std::equal(again.begin(), again.end(), data, data + size))
             std::abort();
     // The checksum keeps most mutations out: with it put right they get to the parts behind.
-    constexpr Millis now = 1.7e12;
+    constexpr Millis kNow = 1.7e12;
     Replica replica(1, 40, 1'700'000'000, 5);
     std::vector<Outgoing> out;
-    replica.start(now, out);
-    replica.publish(now, 3, {1, 1, 0, 0});
-    replica.receive(now, 2, bytes, out);
+    replica.start(kNow, out);
+    replica.publish(kNow, 3, {1, 1, 0, 0});
+    replica.receive(kNow, 2, bytes, out);
     if (size >= kHeaderBytes && size <= kMaxDatagramBytes) {
         Bytes fixed(bytes.begin(), bytes.end());
         fixed[0] = kFormatByte;
         fix_checksum(fixed);
-        for (int i = 0; i < 3; ++i) replica.receive(now + i, static_cast<MemberId>(2 + i), fixed, out);
+        for (int i = 0; i < 3; ++i) replica.receive(kNow + i, static_cast<MemberId>(2 + i), fixed, out);
     }
-    for (Millis at = now; at < now + 3000; at = std::max(at + 1, replica.due())) replica.advance(at, out);
+    for (Millis at = kNow; at < kNow + 3000; at = std::max(at + 1, replica.due())) replica.advance(at, out);
     for (const Outgoing& o : out)
         if (o.bytes.size() > kMaxDatagramBytes || (o.to >= 40 && o.to != kAll) ||
             std::holds_alternative<DecodeError>(decode(o.bytes)))
--- a/tests/replication/recorded_datagrams_test.cpp
+++ b/tests/replication/recorded_datagrams_test.cpp
@@ -40,7 +40,7 @@
 
 std::vector<Case> cases() {
     Datagram digest = a_datagram(Kind::digest, 0, 0);
-    for (std::uint8_t i = 0; i < kDigestRanges; ++i) digest.items.push_back(RangeItem{i, 0x01010101u * i});
+    for (std::uint8_t i = 0; i < kDigestRanges; ++i) digest.items.emplace_back(RangeItem{i, 0x01010101u * i});
     return {
         {"ping", a_datagram(Kind::ping, 0x1234, 0)},
         {"probe", a_datagram(Kind::probe, 0x1235, 0x0a0b)},
--- a/tests/replication/replica_test.cpp
+++ b/tests/replication/replica_test.cpp
@@ -85,7 +85,7 @@
 TEST(UntrustedPeers, AForgerCountsAsOneDirectReporter) {
     SingleReplica single;
     std::vector<Item> forged;
-    for (MemberId origin = 1; origin < 10; ++origin) forged.push_back(failure_report(origin, 5));
+    for (MemberId origin = 1; origin < 10; ++origin) forged.emplace_back(failure_report(origin, 5));
     single.receive(1, forged);
     single.run_for(100);
     ASSERT_TRUE(single.totals_of(5));
