--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,9 +1,10 @@
-// The process that the simulator starts: the wire on standard input and output.
+/// @file
+/// ochregrade_adapter: the process that the simulator starts. Its protocol is on standard input and output.
 #include <iostream>
 
-#include "simulator/adapter.hpp"
+#include "simulator/balancer_host.hpp"
 
 int main() {
     std::ios::sync_with_stdio(false);
-    return ochregrade::wire::Host(std::cin, std::cout, std::cerr).run();
+    return ochregrade::wire::BalancerHost(std::cin, std::cout, std::cerr).run();
 }
