--- a/src/simulator/message.cpp
+++ b/src/simulator/message.cpp
@@ -15,21 +15,21 @@
 }
 
 // Takes what stands before the first space off `text`, and the space.
-std::string_view take_word(std::string_view& text) {
+std::string_view take_token(std::string_view& text) {
     const auto space = text.find(' ');
-    const std::string_view word = text.substr(0, space);
+    const std::string_view token = text.substr(0, space);
     text = space == std::string_view::npos ? std::string_view() : text.substr(space + 1);
-    return word;
+    return token;
 }
 
 }  // namespace
 
 Message::Message(std::string_view line, std::size_t line_number) : line_number_(line_number) {
     if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
-    kind_ = take_word(line);
+    kind_ = take_token(line);
     if (kind_.empty()) throw WireError("line " + std::to_string(line_number_) + ": empty line");
     while (!line.empty()) {
-        const std::string_view pair = take_word(line);
+        const std::string_view pair = take_token(line);
         const auto equals = pair.find('=');
         if (equals == std::string_view::npos || equals == 0) fail(pair, "is not name=value");
         fields_.emplace_back(pair.substr(0, equals), pair.substr(equals + 1));
--- a/src/simulator/vocabulary.cpp
+++ b/src/simulator/vocabulary.cpp
@@ -33,8 +33,8 @@
 template <class T, std::size_t N>
 T translate(const Message& message, std::string_view field, const Words<T, N>& words) {
     const std::string_view text = message.text(field);
-    for (const auto& [word, value] : words)
-        if (word == text) return value;
+    for (const auto& [name, value] : words)
+        if (name == text) return value;
     message.fail(field, "is not a known word");
 }
 
