--- a/src/lab/simulated_network.cpp
+++ b/src/lab/simulated_network.cpp
@@ -5,7 +5,8 @@
 namespace ochregrade::lab {
 
 namespace {
-constexpr std::size_t kSocket = 800;  // datagrams a paused process's receive buffer holds; the rest is lost
+constexpr std::size_t kReceiveBuffer =
+    800;  // datagrams a paused process's receive buffer holds; the rest is lost
 }
 
 SimFleet::SimFleet(std::size_t members, std::uint64_t seed, const Network& network,
@@ -24,17 +25,17 @@
 }
 
 void SimFleet::start(std::size_t i) {
-    Member& m = members_[i];
-    m.socket.clear();
-    m.paused = false;
-    m.woken_for = -1;
-    ++m.starts;
-    m.replica = std::make_unique<replication::Replica>(static_cast<replication::MemberId>(i), members_.size(),
-                                                       static_cast<std::uint32_t>(clock(i) / 1000),
-                                                       seed_ * 1000003 + i * 131 + m.starts, options_);
+    Member& member = members_[i];
+    member.socket.clear();
+    member.paused = false;
+    member.wake_up_at = -1;
+    ++member.starts;
+    member.replica = std::make_unique<replication::Replica>(
+        static_cast<replication::MemberId>(i), members_.size(), static_cast<std::uint32_t>(clock(i) / 1000),
+        seed_ * 1000003 + i * 131 + member.starts, options_);
     std::vector<replication::Outgoing> out;
-    m.replica->start(clock(i), out);
-    after(i, out);
+    member.replica->start(clock(i), out);
+    send_and_schedule(i, out);
 }
 
 void SimFleet::kill(std::size_t i) { members_[i].replica.reset(); }
@@ -42,14 +43,14 @@
 void SimFleet::pause(std::size_t i) { members_[i].paused = true; }
 
 void SimFleet::resume(std::size_t i) {
-    Member& m = members_[i];
-    m.paused = false;
-    if (!m.replica) return;
+    Member& member = members_[i];
+    member.paused = false;
+    if (!member.replica) return;
     std::vector<replication::Outgoing> out;
-    m.replica->advance(clock(i), out);
-    after(i, out);
-    const auto waiting = std::move(m.socket);
-    m.socket.clear();
+    member.replica->advance(clock(i), out);
+    send_and_schedule(i, out);
+    const auto waiting = std::move(member.socket);
+    member.socket.clear();
     for (const auto& [from, bytes] : waiting) push({now_, 0, i, from, 0, false, bytes});
 }
 
@@ -61,7 +62,7 @@
 }
 
 void SimFleet::heal() {
-    for (Member& m : members_) m.cut_in = m.cut_out = false;
+    for (Member& member : members_) member.cut_in = member.cut_out = false;
 }
 
 void SimFleet::push(Event event) {
@@ -69,21 +70,21 @@
     events_.push(std::move(event));
 }
 
-void SimFleet::after(std::size_t i, std::vector<replication::Outgoing>& out) {
-    for (replication::Outgoing& o : out) {
-        if (o.to != replication::kAll) {
-            inject(i, o.to, std::move(o.bytes));
+void SimFleet::send_and_schedule(std::size_t i, std::vector<replication::Outgoing>& out) {
+    for (replication::Outgoing& datagram : out) {
+        if (datagram.to != replication::kAll) {
+            inject(i, datagram.to, std::move(datagram.bytes));
             continue;
         }
         for (std::size_t to = 0; to < members_.size(); ++to)
-            if (to != i) inject(i, to, o.bytes);
+            if (to != i) inject(i, to, datagram.bytes);
     }
     out.clear();
-    Member& m = members_[i];
-    const Millis due = m.replica->due() - m.offset;
-    if (due == m.woken_for || due > 1e18) return;
-    m.woken_for = due;
-    push({std::max(due, now_), 0, i, i, m.starts, true, {}});
+    Member& member = members_[i];
+    const Millis due = member.replica->due() - member.offset;
+    if (due == member.wake_up_at || due > 1e18) return;
+    member.wake_up_at = due;
+    push({std::max(due, now_), 0, i, i, member.starts, true, {}});
 }
 
 void SimFleet::inject(std::size_t from, std::size_t to, replication::Bytes bytes) {
@@ -91,10 +92,11 @@
     bytes_ += bytes.size();
     if (on_send) on_send(from, to, bytes);
     std::uniform_real_distribution<double> unit(0, 1);
-    const Member &a = members_[from], &b = members_[to];
-    // Those on one side of a cut hear each other.
-    const bool across = a.cut_in != b.cut_in || a.cut_out != b.cut_out;
-    if (across && (a.cut_out || b.cut_in)) return;
+    const Member& sender = members_[from];
+    const Member& receiver = members_[to];
+    // Members on the same side of a cut reach each other.
+    const bool crosses_cut = sender.cut_in != receiver.cut_in || sender.cut_out != receiver.cut_out;
+    if (crosses_cut && (sender.cut_out || receiver.cut_in)) return;
     if (unit(random_) < network_.loss) return;
     const int copies = unit(random_) < network_.duplicate ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
@@ -104,22 +106,23 @@
 }
 
 void SimFleet::deliver(Event& event) {
-    Member& m = members_[event.to];
-    if (!m.replica) return;
-    if (event.wake && event.start != m.starts) return;
-    if (m.paused) {
-        if (!event.wake && m.socket.size() < kSocket)
-            m.socket.emplace_back(event.from, std::move(event.bytes));
+    Member& member = members_[event.to];
+    if (!member.replica) return;
+    if (event.wake && event.start != member.starts) return;
+    if (member.paused) {
+        if (!event.wake && member.socket.size() < kReceiveBuffer)
+            member.socket.emplace_back(event.from, std::move(event.bytes));
         return;
     }
     std::vector<replication::Outgoing> out;
     if (event.wake) {
-        m.woken_for = -1;
-        m.replica->advance(clock(event.to), out);
+        member.wake_up_at = -1;
+        member.replica->advance(clock(event.to), out);
     } else {
-        m.replica->receive(clock(event.to), static_cast<replication::MemberId>(event.from), event.bytes, out);
+        member.replica->receive(clock(event.to), static_cast<replication::MemberId>(event.from), event.bytes,
+                                out);
     }
-    after(event.to, out);
+    send_and_schedule(event.to, out);
 }
 
 void SimFleet::run_until(Millis until) {
@@ -132,11 +135,11 @@
     now_ = std::max(now_, until);
 }
 
-bool SimFleet::run_until(const std::function<bool()>& done, Millis at_most, Millis look) {
+bool SimFleet::run_until(const std::function<bool()>& done, Millis at_most, Millis poll_interval) {
     const Millis end = now_ + at_most;
     while (!done()) {
         if (now_ >= end) return false;
-        run_until(std::min(end, now_ + look));
+        run_until(std::min(end, now_ + poll_interval));
     }
     return true;
 }
@@ -144,13 +147,13 @@
 void SimFleet::say(std::size_t i, replication::EndpointKey server, const replication::Evidence& evidence) {
     members_[i].replica->publish(clock(i), server, evidence);
     std::vector<replication::Outgoing> none;
-    after(i, none);
+    send_and_schedule(i, none);
 }
 
 void SimFleet::say(std::size_t i, const replication::Versions& versions) {
     members_[i].replica->publish(clock(i), versions);
     std::vector<replication::Outgoing> none;
-    after(i, none);
+    send_and_schedule(i, none);
 }
 
 bool SimFleet::agree() const {
