--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -1,162 +1,210 @@
 #include "lab/clients.hpp"
 
+#include <algorithm>
 #include <boost/asio/redirect_error.hpp>
-#include <boost/beast/http.hpp>
+
+#include "lab/correlation_id.hpp"
 
 namespace ochregrade::lab {
 
-namespace {
+namespace asio = boost::asio;
+namespace beast = boost::beast;
 namespace http = boost::beast::http;
 using asio::ip::tcp;
 using boost::system::error_code;
 using namespace std::chrono_literals;
 
+namespace {
+
 constexpr auto kConnectTimeout = 1s;
+constexpr auto kHealthTimeout = 500ms;
 constexpr auto kAfterDeadline = 500ms;  // an answer this late still ends the request; later it is lost
-constexpr std::uint64_t kMaxBody = 64 * 1024;
+constexpr auto kLeastRetryTime = 50ms;  // no retry with less time left
+constexpr int kLeastRetryPauseMs = 10;
+constexpr int kRetryPauseSpreadMs = 40;
+constexpr std::uint64_t kMaxBody = 64 * 1024;  // bytes
+constexpr int kAccounts = 3;
+constexpr int kHttpVersion = 11;
+
+std::string request_target(const LoadClass& load_class, const std::string& correlation_id) {
+    return "/" + load_class.name + "?sid=" + correlation_id;
+}
+
+// A server that works answers with the request's target as the body.
+Outcome outcome_of(const http::response<http::string_body>& response, const std::string& target) {
+    switch (response.result()) {
+        case http::status::ok:
+            return response.body() == target ? Outcome::served : Outcome::failed;
+        case http::status::too_many_requests:
+        case http::status::service_unavailable:
+            return Outcome::rejected;
+        default:
+            return Outcome::failed;
+    }
+}
 
 }  // namespace
 
 Clients::Clients(asio::io_context& io, const Experiment& experiment, Recorder& recorder,
-                 std::vector<tcp::endpoint> sidecars)
-    : io_(io), experiment_(experiment), recorder_(recorder), own_(sidecars.size()) {
+                 const std::vector<tcp::endpoint>& sidecars)
+    : io_(io), experiment_(experiment), recorder_(recorder), applications_(sidecars.size()) {
     std::vector<double> shares;
-    for (const LoadClass& c : experiment.classes) shares.push_back(c.share);
-    classes_ = std::discrete_distribution<int>(shares.begin(), shares.end());
-    std::mt19937_64 deal(experiment.seed * 31 + 7);
+    shares.reserve(experiment.classes.size());
+    for (const LoadClass& load_class : experiment.classes) shares.push_back(load_class.share);
+    class_indices_ = std::discrete_distribution<int>(shares.begin(), shares.end());
+    std::mt19937_64 random(experiment.seed * 31 + 7);
     std::uniform_real_distribution<double> unit(0, 1);
-    for (std::size_t i = 0; i < own_.size(); ++i) {
-        own_[i].at = sidecars[i];
-        own_[i].rate =
-            experiment.rate * (unit(deal) < experiment.heavy_share ? experiment.heavy_multiple : 1);
-        own_[i].random.seed(experiment.seed * 1000003 + i);
+    for (std::size_t i = 0; i < applications_.size(); ++i) {
+        const bool heavy = unit(random) < experiment.heavy_share;
+        applications_[i].sidecar = sidecars[i];
+        applications_[i].rate = experiment.rate * (heavy ? experiment.heavy_multiple : 1);
+        applications_[i].random.seed(experiment.seed * 1000003 + i);
     }
 }
 
-void Clients::run(Clock::time_point until) {
-    for (std::size_t i = 0; i < own_.size(); ++i)
-        asio::co_spawn(io_, arrivals(static_cast<int>(i), until), asio::detached);
+void Clients::run(Clock::time_point end) {
+    for (std::size_t i = 0; i < applications_.size(); ++i)
+        asio::co_spawn(io_, send_requests(static_cast<int>(i), end), asio::detached);
 }
 
-void Clients::forget_connections(int i) {
-    Own& own = own_[static_cast<std::size_t>(i)];
-    own.open -= static_cast<int>(own.idle.size());
-    own.idle.clear();
+void Clients::forget_connections(int sidecar) {
+    Application& app = application(sidecar);
+    app.open_connections -= static_cast<int>(app.idle.size());
+    app.idle.clear();
 }
 
-asio::awaitable<void> Clients::arrivals(int i, Clock::time_point until) {
-    Own& own = own_[static_cast<std::size_t>(i)];
-    if (own.rate <= 0) co_return;
-    std::exponential_distribution<double> gap(own.rate);
-    asio::steady_timer timer(io_);
-    Clock::time_point next = Clock::now() + std::chrono::duration_cast<Clock::duration>(
-                                                std::chrono::duration<double>(gap(own.random)));
-    while (next < until) {
-        timer.expires_at(next);
-        error_code ignored;
-        co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-        asio::co_spawn(io_, ask(i), asio::detached);
-        next += std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(gap(own.random)));
+asio::awaitable<void> Clients::send_requests(int sidecar, Clock::time_point end) {
+    Application& app = application(sidecar);
+    if (app.rate <= 0) co_return;
+    std::exponential_distribution<double> interarrival_s(app.rate);
+    Clock::time_point next = Clock::now() + from_seconds(interarrival_s(app.random));
+    while (next < end) {
+        co_await sleep_until(next);
+        asio::co_spawn(io_, request(sidecar), asio::detached);
+        next += from_seconds(interarrival_s(app.random));
     }
 }
 
-asio::awaitable<void> Clients::ask(int i) {
-    Own& own = own_[static_cast<std::size_t>(i)];
+asio::awaitable<void> Clients::request(int sidecar) {
+    Application& app = application(sidecar);
     ++in_flight_;
-    const int kind_number = classes_(own.random);
-    const LoadClass& kind = experiment_.classes[static_cast<std::size_t>(kind_number)];
+    const int class_index = class_indices_(app.random);
+    const LoadClass& load_class = experiment_.classes[static_cast<std::size_t>(class_index)];
     const Clock::time_point began = Clock::now();
-    const Clock::time_point deadline =
-        began + std::chrono::duration_cast<Clock::duration>(
-                    std::chrono::duration<double, std::milli>(kind.time_left_ms));
-    Try result = Try::lost;
-    for (int tried = 0;; ++tried) {
-        result = co_await attempt(i, kind, correlation_id(i, own.serial++), deadline);
-        // A refusal is harmless to try again, a little later and with a fresh id, while time is left.
-        if (result != Try::refused || tried >= experiment_.retries || Clock::now() + 50ms > deadline) break;
-        asio::steady_timer pause(io_, std::chrono::milliseconds(10 + own.random() % 40));
-        error_code ignored;
-        co_await pause.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+    const Clock::time_point deadline = began + from_milliseconds(load_class.timeout_ms);
+    Outcome outcome = Outcome::lost;
+    for (int attempts = 0;; ++attempts) {
+        const std::string id = correlation_id(sidecar, app.next_serial++);
+        outcome = co_await attempt(sidecar, load_class, id, deadline);
+        // A rejected request had no effect: it is tried again a little later with a fresh id.
+        const bool time_is_left = Clock::now() + kLeastRetryTime <= deadline;
+        if (outcome != Outcome::rejected || attempts >= experiment_.retries || !time_is_left) break;
+        const auto pause_ms = kLeastRetryPauseMs + app.random() % kRetryPauseSpreadMs;
+        co_await sleep_until(Clock::now() + std::chrono::milliseconds(pause_ms));
     }
-    const double latency_ms = std::chrono::duration<double, std::milli>(Clock::now() - began).count();
-    recorder_.outcome(i, static_cast<Outcome>(result), latency_ms, kind_number);
+    recorder_.outcome(sidecar, outcome, to_milliseconds(Clock::now() - began), class_index);
     --in_flight_;
 }
 
-asio::awaitable<Clients::Try> Clients::attempt(int i, const LoadClass& kind, const std::string& id,
-                                               Clock::time_point deadline) {
-    Own& own = own_[static_cast<std::size_t>(i)];
-    const std::string target = "/" + kind.name + "?sid=" + id;
-    for (int round = 0; round < 2; ++round) {
-        std::unique_ptr<beast::tcp_stream> stream;
-        const bool reused = round == 0 && !own.idle.empty();
-        error_code ec;
+asio::awaitable<Outcome> Clients::attempt(int sidecar, const LoadClass& load_class,
+                                          const std::string& correlation_id, Clock::time_point deadline) {
+    Application& app = application(sidecar);
+    // A kept connection may have been closed by the sidecar between requests: the request is sent once more
+    // on a new one then.
+    for (bool may_reuse = true;; may_reuse = false) {
+        const bool reused = may_reuse && !app.idle.empty();
+        std::unique_ptr<Stream> stream;
         if (reused) {
-            stream = std::move(own.idle.back());
-            own.idle.pop_back();
+            stream = take_idle(app);
         } else {
-            if (own.open >= experiment_.client_connections) co_return Try::unreachable;
-            stream = std::make_unique<beast::tcp_stream>(io_);
-            ++own.open;
-            stream->expires_after(kConnectTimeout);
-            co_await stream->async_connect(own.at, asio::redirect_error(asio::use_awaitable, ec));
-            if (ec) {
-                --own.open;
-                co_return Try::unreachable;
-            }
+            stream = co_await connect(app);
         }
-        const auto left =
-            std::chrono::duration_cast<std::chrono::milliseconds>(deadline - Clock::now()).count();
-        http::request<http::string_body> request{kind.once ? http::verb::post : http::verb::get, target, 11};
-        request.set(http::field::host, "api.internal");
-        request.set("X-Correlation-Id", id);
-        request.set("X-Service-Class", kind.name);
-        request.set("X-Account", "t" + std::to_string(i % 3));
-        request.set("X-Time-Left", std::to_string(std::max<std::int64_t>(1, left)) + "m");
-        request.prepare_payload();
+        if (!stream) co_return Outcome::unreachable;
+        const Request request = make_request(sidecar, load_class, correlation_id, deadline);
         stream->expires_at(deadline + kAfterDeadline);
-        co_await http::async_write(*stream, request, asio::redirect_error(asio::use_awaitable, ec));
-        beast::flat_buffer buffer;
-        http::response_parser<http::string_body> parser;
-        parser.body_limit(kMaxBody);
-        if (!ec)
-            co_await http::async_read(*stream, buffer, parser, asio::redirect_error(asio::use_awaitable, ec));
-        if (ec) {
-            --own.open;
-            // A kept connection that the sidecar closed between requests: sent once more on a new one.
-            if (reused && ec != beast::error::timeout && buffer.size() == 0) continue;
-            co_return ec == beast::error::timeout ? Try::lost : (reused ? Try::lost : Try::unreachable);
+        const Exchange result = co_await exchange(*stream, request);
+        if (result.error) {
+            --app.open_connections;
+            const bool timed_out = result.error == beast::error::timeout;
+            if (reused && !timed_out && !result.response_begun) continue;
+            co_return timed_out || reused ? Outcome::lost : Outcome::unreachable;
         }
-        const auto& response = parser.get();
-        if (response.keep_alive()) {
+        if (result.response.keep_alive()) {
             stream->expires_never();
-            own.idle.push_back(std::move(stream));
+            app.idle.push_back(std::move(stream));
         } else {
-            --own.open;
+            --app.open_connections;
         }
-        const unsigned status = response.result_int();
-        if (status == 200) co_return response.body() == target ? Try::served : Try::failed;
-        co_return status == 429 || status == 503 ? Try::refused : Try::failed;
+        co_return outcome_of(result.response, request_target(load_class, correlation_id));
     }
-    co_return Try::lost;
 }
 
-asio::awaitable<bool> Clients::healthy(int i) {
-    beast::tcp_stream stream(io_);
-    error_code ec;
-    stream.expires_after(500ms);
-    co_await stream.async_connect(own_[static_cast<std::size_t>(i)].at,
-                                  asio::redirect_error(asio::use_awaitable, ec));
-    if (ec) co_return false;
-    http::request<http::empty_body> request{http::verb::get, "/healthz", 11};
+std::unique_ptr<Clients::Stream> Clients::take_idle(Application& application) {
+    std::unique_ptr<Stream> stream = std::move(application.idle.back());
+    application.idle.pop_back();
+    return stream;
+}
+
+// Null where the sidecar can't be reached or the application has all the connections it may have.
+asio::awaitable<std::unique_ptr<Clients::Stream>> Clients::connect(Application& application) {
+    if (application.open_connections >= experiment_.client_connections) co_return nullptr;
+    auto stream = std::make_unique<Stream>(io_);
+    ++application.open_connections;
+    stream->expires_after(kConnectTimeout);
+    error_code error;
+    co_await stream->async_connect(application.sidecar, asio::redirect_error(asio::use_awaitable, error));
+    if (error) {
+        --application.open_connections;
+        co_return nullptr;
+    }
+    co_return stream;
+}
+
+Clients::Request Clients::make_request(int sidecar, const LoadClass& load_class,
+                                       const std::string& correlation_id, Clock::time_point deadline) {
+    const auto time_left =
+        std::chrono::duration_cast<std::chrono::milliseconds>(deadline - Clock::now()).count();
+    Request request{load_class.not_idempotent ? http::verb::post : http::verb::get,
+                    request_target(load_class, correlation_id), kHttpVersion};
+    request.set(http::field::host, "api.internal");
+    request.set("X-Correlation-Id", correlation_id);
+    request.set("X-Service-Class", load_class.name);
+    request.set("X-Account", "t" + std::to_string(sidecar % kAccounts));
+    request.set("X-Time-Left", std::to_string(std::max<std::int64_t>(1, time_left)) + "m");
+    request.prepare_payload();
+    return request;
+}
+
+asio::awaitable<Clients::Exchange> Clients::exchange(Stream& stream, const Request& request) {
+    Exchange result;
+    co_await http::async_write(stream, request, asio::redirect_error(asio::use_awaitable, result.error));
+    if (result.error) co_return result;
+    beast::flat_buffer buffer;
+    http::response_parser<http::string_body> parser;
+    parser.body_limit(kMaxBody);
+    co_await http::async_read(stream, buffer, parser,
+                              asio::redirect_error(asio::use_awaitable, result.error));
+    result.response_begun = buffer.size() > 0;
+    if (!result.error) result.response = parser.release();
+    co_return result;
+}
+
+asio::awaitable<bool> Clients::is_healthy(int sidecar) {
+    Stream stream(io_);
+    error_code error;
+    stream.expires_after(kHealthTimeout);
+    co_await stream.async_connect(application(sidecar).sidecar,
+                                  asio::redirect_error(asio::use_awaitable, error));
+    if (error) co_return false;
+    http::request<http::empty_body> request{http::verb::get, "/healthz", kHttpVersion};
     request.set(http::field::host, "lab");
     request.keep_alive(false);
-    co_await http::async_write(stream, request, asio::redirect_error(asio::use_awaitable, ec));
-    if (ec) co_return false;
+    co_await http::async_write(stream, request, asio::redirect_error(asio::use_awaitable, error));
+    if (error) co_return false;
     beast::flat_buffer buffer;
-    http::response<http::string_body> response;
-    co_await http::async_read(stream, buffer, response, asio::redirect_error(asio::use_awaitable, ec));
-    co_return !ec && response.result_int() == 200;
+    Response response;
+    co_await http::async_read(stream, buffer, response, asio::redirect_error(asio::use_awaitable, error));
+    co_return !error && response.result() == http::status::ok;
 }
 
 }  // namespace ochregrade::lab
--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -1,252 +1,172 @@
 #include "lab/experiment.hpp"
 
-#include <toml++/toml.h>
-
 #include <map>
-#include <set>
+
+#include "lab/toml_table.hpp"
 
 namespace ochregrade::lab {
 
 namespace {
 
-// A TOML table that knows its path, takes each field once and complains of any it was not asked for.
-class Table {
-public:
-    Table(const toml::table& table, std::string path) : table_(table), path_(std::move(path)) {}
-
-    std::string path(const std::string& key) const { return path_.empty() ? key : path_ + "." + key; }
-
-    template <class T>
-    void take(const std::string& key, T& into, double low, double high) {
-        seen_.insert(key);
-        const toml::node* node = table_.get(key);
-        if (!node) return;
-        if constexpr (std::is_same_v<T, bool>) {
-            const auto value = node->value_exact<bool>();
-            if (!value) throw ExperimentError(path(key), "a flag (true or false) is wanted");
-            into = *value;
-        } else if constexpr (std::is_integral_v<T>) {
-            const auto value = node->value_exact<std::int64_t>();
-            if (!value) throw ExperimentError(path(key), "a whole number is wanted");
-            if (*value < low || *value > high) throw out_of(key, low, high);
-            into = static_cast<T>(*value);
-        } else {
-            const auto value = node->value<double>();
-            if (!value || node->is_string()) throw ExperimentError(path(key), "a number is wanted");
-            if (!(*value >= low && *value <= high)) throw out_of(key, low, high);
-            into = *value;
-        }
-    }
-
-    void take(const std::string& key, std::string& into) {
-        seen_.insert(key);
-        if (const toml::node* node = table_.get(key)) {
-            const auto value = node->value_exact<std::string>();
-            if (!value) throw ExperimentError(path(key), "a text is wanted");
-            into = *value;
-        }
-    }
-
-    const toml::array* array(const std::string& key) {
-        seen_.insert(key);
-        const toml::node* node = table_.get(key);
-        if (node && !node->is_array()) throw ExperimentError(path(key), "a list is wanted");
-        return node ? node->as_array() : nullptr;
-    }
-
-    const toml::table* table(const std::string& key) {
-        seen_.insert(key);
-        const toml::node* node = table_.get(key);
-        if (node && !node->is_table()) throw ExperimentError(path(key), "a table is wanted");
-        return node ? node->as_table() : nullptr;
-    }
-
-    // A misspelt field would silently be its default: it is refused instead.
-    void finish() const {
-        for (const auto& [key, value] : table_)
-            if (!seen_.count(std::string(key.str())))
-                throw ExperimentError(path(std::string(key.str())), "unknown field");
+constexpr double kLongestFault = 1e9;        // seconds: no bound but that of a sensible number
+constexpr double kLongestTimeout = 600'000;  // ms
+constexpr double kLongestWork = 10'000;      // ms
+constexpr int kMaxFleet = 2000;              // sidecars, and servers
+constexpr int kMaxRetries = 2;               // the platform's bound on a client's retries
+
+const std::map<std::string, FaultKind> kFaultKinds = [] {
+    std::map<std::string, FaultKind> kinds;
+    for (int i = 0; i <= static_cast<int>(FaultKind::settings); ++i) {
+        const auto kind = static_cast<FaultKind>(i);
+        kinds.emplace(to_string(kind), kind);
     }
+    return kinds;
+}();
 
-private:
-    ExperimentError out_of(const std::string& key, double low, double high) const {
-        return ExperimentError(path(key), "must lie from " + toml_number(low) + " to " + toml_number(high));
-    }
-    static std::string toml_number(double value) {
-        std::string text = std::to_string(value);
-        while (text.back() == '0') text.pop_back();
-        if (text.back() == '.') text.pop_back();
-        return text;
-    }
-
-    const toml::table& table_;
-    std::string path_;
-    std::set<std::string> seen_;
-};
-
-constexpr double kHuge = 1e9;
-
-const std::map<std::string, Fault::Kind> kKinds{
-    {"kill", Fault::Kind::kill},           {"stop", Fault::Kind::stop},
-    {"restart", Fault::Kind::restart},     {"servers", Fault::Kind::servers},
-    {"zone", Fault::Kind::zone},           {"discovery", Fault::Kind::discovery},
-    {"partition", Fault::Kind::partition}, {"loss", Fault::Kind::loss},
-    {"drain", Fault::Kind::drain},         {"anew", Fault::Kind::anew},
-    {"stall", Fault::Kind::stall},         {"settings", Fault::Kind::settings},
-    {"silence", Fault::Kind::silence},     {"replace", Fault::Kind::replace}};
-
-const std::map<std::string, ServerMode> kModes{{"ok", ServerMode::ok},
-                                               {"silent", ServerMode::silent},
-                                               {"fail_fast", ServerMode::fail_fast},
-                                               {"fail_slow", ServerMode::fail_slow},
-                                               {"lose_answers", ServerMode::lose_answers},
-                                               {"reset", ServerMode::reset}};
+const std::map<std::string, ServerMode> kServerModes{{"ok", ServerMode::ok},
+                                                     {"silent", ServerMode::silent},
+                                                     {"fail_fast", ServerMode::fail_fast},
+                                                     {"fail_slow", ServerMode::fail_slow},
+                                                     {"lose_answers", ServerMode::lose_answers},
+                                                     {"reset", ServerMode::reset}};
 
 template <class Value>
-Value word(const std::map<std::string, Value>& words, const std::string& text, const std::string& field) {
-    const auto found = words.find(text);
-    if (found != words.end()) return found->second;
-    std::string known;
-    for (const auto& [name, value] : words) known += (known.empty() ? "" : ", ") + name;
-    throw ExperimentError(field, "`" + text + "` is none of " + known);
+Value parse_choice(const std::map<std::string, Value>& choices, const std::string& text,
+                   const std::string& field) {
+    const auto found = choices.find(text);
+    if (found != choices.end()) return found->second;
+    std::string names;
+    for (const auto& [name, value] : choices) names += (names.empty() ? "" : ", ") + name;
+    throw ExperimentError(field, "`" + text + "` is none of " + names);
 }
 
-LoadClass read_class(const toml::table& table, const std::string& path) {
-    Table t(table, path);
-    LoadClass c;
-    c.name.clear();
-    t.take("name", c.name);
-    if (c.name.empty() || c.name.find_first_of("/?# ") != std::string::npos)
-        throw ExperimentError(t.path("name"), "a word is wanted");
-    t.take("once", c.once, 0, 0);
-    t.take("share", c.share, 0.001, 1000);
-    t.take("worth", c.worth, 0, 1e6);
-    t.take("time_left_ms", c.time_left_ms, 1, 600000);
-    t.take("on_time_ms", c.on_time_ms, 1, 600000);
-    t.finish();
-    return c;
+LoadClass read_class(TomlTable& table) {
+    LoadClass load_class;
+    load_class.name.clear();
+    table.read("name", load_class.name);
+    if (load_class.name.empty() || load_class.name.find_first_of("/?# ") != std::string::npos)
+        throw ExperimentError(table.path_of("name"), "a word is wanted");
+    table.read("once", load_class.not_idempotent);
+    table.read("share", load_class.share, 0.001, 1000);
+    table.read("worth", load_class.priority_weight, 0, 1e6);
+    table.read("time_left_ms", load_class.timeout_ms, 1, kLongestTimeout);
+    table.read("on_time_ms", load_class.latency_objective_ms, 1, kLongestTimeout);
+    return load_class;
 }
 
-Fault read_fault(const toml::table& table, const std::string& path) {
-    Table t(table, path);
-    Fault fault{};
-    std::string kind, mode = "silent", direction = "both";
-    t.take("kind", kind);
-    if (kind.empty()) throw ExperimentError(t.path("kind"), "is required");
-    fault.kind = word(kKinds, kind, t.path("kind"));
-    t.take("at_s", fault.at_s, 0, kHuge);
-    t.take("for_s", fault.for_s, 0, kHuge);
-    t.take("share", fault.share, 0, 1);
-    t.take("mode", mode);
-    fault.mode = word(kModes, mode, t.path("mode"));
-    t.take("zone", fault.zone);
-    t.take("direction", direction);
+Fault read_fault(TomlTable& table) {
+    Fault fault;
+    std::string kind;
+    std::string mode = "silent";
+    std::string direction = "both";
+    table.read("kind", kind);
+    if (kind.empty()) throw ExperimentError(table.path_of("kind"), "is required");
+    fault.kind = parse_choice(kFaultKinds, kind, table.path_of("kind"));
+    table.read("at_s", fault.at_s, 0, kLongestFault);
+    table.read("for_s", fault.for_s, 0, kLongestFault);
+    table.read("share", fault.share, 0, 1);
+    table.read("mode", mode);
+    fault.mode = parse_choice(kServerModes, mode, table.path_of("mode"));
+    table.read("zone", fault.zone);
+    table.read("direction", direction);
     if (direction != "both" && direction != "in" && direction != "out")
-        throw ExperimentError(t.path("direction"), "`in`, `out` or `both` is wanted");
+        throw ExperimentError(table.path_of("direction"), "`in`, `out` or `both` is wanted");
     fault.inbound = direction != "out";
     fault.outbound = direction != "in";
-    t.take("probability", fault.probability, 0, 1);
-    t.take("rollout", fault.rollout, 0, 1);
-    t.finish();
+    table.read("probability", fault.probability, 0, 1);
+    table.read("rollout", fault.rollout, 0, 1);
     return fault;
 }
 
-}  // namespace
+void read_run(TomlTable& table, Experiment& experiment) {
+    table.read("name", experiment.name);
+    std::int64_t seed = 1;
+    table.read("seed", seed, 0, INT64_MAX);
+    experiment.seed = static_cast<std::uint64_t>(seed);
+    table.read("seconds", experiment.seconds, 0.5, 3600);
+    table.read("warmup_s", experiment.warmup_s, 0, 600);
+    table.read("ready_s", experiment.ready_s, 1, 600);
+}
 
-Experiment load_experiment(const std::string& path) {
-    toml::table file;
+void read_fleet(TomlTable& table, Experiment& experiment) {
+    table.read("sidecars", experiment.sidecars, 1, kMaxFleet);
+    table.read_names("zones", experiment.zones);
+    if (experiment.zones.empty()) throw ExperimentError(table.path_of("zones"), "one zone at least");
+    table.read("shared", experiment.shared);
+    table.read("agreement", experiment.agreement);
+}
+
+void read_servers(TomlTable& table, Experiment& experiment) {
+    table.read("count", experiment.servers, 1, kMaxFleet);
+    table.read("work_ms", experiment.work_ms, 0, kLongestWork);
+    table.read("speed_spread", experiment.speed_spread, 0, 0.95);
+    table.read("concurrency", experiment.server_concurrency, 1, 10000);
+    table.read("connections", experiment.server_connections, 1, 100000);
+    table.read("queue_ms", experiment.queue_ms, 0, 60000);
+    table.read("handshake_ms", experiment.handshake_ms, 0, kLongestWork);
+    table.read("idle_close_ms", experiment.idle_close_ms, 100, kLongestTimeout);
+    table.read("cold_from", experiment.slow_start_least_share, 0.01, 1);
+    table.read("warm_ms", experiment.slow_start_ms, 0, kLongestTimeout);
+}
+
+void read_load(TomlTable& table, Experiment& experiment) {
+    table.read("rate", experiment.rate, 0, 100000);
+    table.read("heavy_share", experiment.heavy_share, 0, 1);
+    table.read("heavy_multiple", experiment.heavy_multiple, 1, 1000);
+    table.read("time_left_ms", experiment.timeout_ms, 1, kLongestTimeout);
+    table.read("on_time_ms", experiment.latency_objective_ms, 1, kLongestTimeout);
+    table.read("retries", experiment.retries, 0, kMaxRetries);
+    table.read("connections", experiment.client_connections, 1, 1000);
+    std::vector<LoadClass> classes;
+    const int count =
+        table.read_tables("classes", [&](TomlTable& entry) { classes.push_back(read_class(entry)); });
+    if (count == 0) throw ExperimentError(table.path_of("classes"), "one class at least");
+    if (count > 0) experiment.classes = std::move(classes);
+}
+
+// What a class leaves open is as the load has it.
+void apply_class_defaults(Experiment& experiment) {
+    for (LoadClass& load_class : experiment.classes) {
+        if (load_class.timeout_ms == 0) load_class.timeout_ms = experiment.timeout_ms;
+        if (load_class.latency_objective_ms == 0)
+            load_class.latency_objective_ms = experiment.latency_objective_ms;
+    }
+}
+
+void read_relay(TomlTable& table, Experiment& experiment) {
+    table.read("delay_ms", experiment.relay_delay_ms, 0, 60000);
+    table.read("loss", experiment.relay_loss, 0, 1);
+    table.read("duplicate", experiment.relay_duplicate, 0, 1);
+}
+
+toml::table parse_file(const std::string& path) {
     try {
-        file = toml::parse_file(path);
+        return toml::parse_file(path);
     } catch (const toml::parse_error& error) {
-        const auto& at = error.source().begin;
-        throw ExperimentError("(file)", path + ":" + std::to_string(at.line) + ":" +
-                                            std::to_string(at.column) + ": " +
+        const auto& position = error.source().begin;
+        throw ExperimentError("(file)", path + ":" + std::to_string(position.line) + ":" +
+                                            std::to_string(position.column) + ": " +
                                             std::string(error.description()));
     }
-    Experiment e;
-    Table top(file, "");
-    top.take("name", e.name);
-    std::int64_t seed = 1;
-    top.take("seed", seed, 0, static_cast<double>(INT64_MAX));
-    e.seed = static_cast<std::uint64_t>(seed);
-    top.take("seconds", e.seconds, 0.5, 3600);
-    top.take("warmup_s", e.warmup_s, 0, 600);
-    top.take("ready_s", e.ready_s, 1, 600);
-
-    if (const toml::table* fleet = top.table("fleet")) {
-        Table t(*fleet, "fleet");
-        t.take("sidecars", e.sidecars, 1, 2000);
-        if (const toml::array* zones = t.array("zones")) {
-            e.zones.clear();
-            for (std::size_t i = 0; i < zones->size(); ++i) {
-                const auto zone = (*zones)[i].value_exact<std::string>();
-                if (!zone || zone->empty())
-                    throw ExperimentError("fleet.zones[" + std::to_string(i) + "]", "a name");
-                e.zones.push_back(*zone);
-            }
-            if (e.zones.empty()) throw ExperimentError("fleet.zones", "one zone at least");
-        }
-        t.take("shared", e.shared, 0, 0);
-        t.take("agreement", e.agreement, 0, 0);
-        t.finish();
-    }
-    if (const toml::table* servers = top.table("servers")) {
-        Table t(*servers, "servers");
-        t.take("count", e.servers, 1, 2000);
-        t.take("work_ms", e.work_ms, 0, 10000);
-        t.take("speed_spread", e.speed_spread, 0, 0.95);
-        t.take("concurrency", e.server_concurrency, 1, 10000);
-        t.take("connections", e.server_connections, 1, 100000);
-        t.take("queue_ms", e.queue_ms, 0, 60000);
-        t.take("handshake_ms", e.handshake_ms, 0, 10000);
-        t.take("idle_close_ms", e.idle_close_ms, 100, 600000);
-        t.take("cold_from", e.cold_from, 0.01, 1);
-        t.take("warm_ms", e.warm_ms, 0, 600000);
-        t.finish();
-    }
-    if (const toml::table* load = top.table("load")) {
-        Table t(*load, "load");
-        t.take("rate", e.rate, 0, 100000);
-        t.take("heavy_share", e.heavy_share, 0, 1);
-        t.take("heavy_multiple", e.heavy_multiple, 1, 1000);
-        t.take("time_left_ms", e.time_left_ms, 1, 600000);
-        t.take("on_time_ms", e.on_time_ms, 1, 600000);
-        t.take("retries", e.retries, 0, 2);
-        t.take("connections", e.client_connections, 1, 1000);
-        if (const toml::array* classes = t.array("classes")) {
-            e.classes.clear();
-            for (std::size_t i = 0; i < classes->size(); ++i) {
-                const std::string where = "load.classes[" + std::to_string(i) + "]";
-                const toml::table* one = (*classes)[i].as_table();
-                if (!one) throw ExperimentError(where, "a table is wanted");
-                e.classes.push_back(read_class(*one, where));
-            }
-            if (e.classes.empty()) throw ExperimentError("load.classes", "one class at least");
-        }
-        t.finish();
-    }
-    for (LoadClass& c : e.classes) {
-        if (c.time_left_ms == 0) c.time_left_ms = e.time_left_ms;
-        if (c.on_time_ms == 0) c.on_time_ms = e.on_time_ms;
-    }
-    if (const toml::table* relay = top.table("relay")) {
-        Table t(*relay, "relay");
-        t.take("delay_ms", e.relay_delay_ms, 0, 60000);
-        t.take("loss", e.relay_loss, 0, 1);
-        t.take("duplicate", e.relay_duplicate, 0, 1);
-        t.finish();
-    }
-    if (const toml::array* faults = top.array("faults")) {
-        for (std::size_t i = 0; i < faults->size(); ++i) {
-            const std::string where = "faults[" + std::to_string(i) + "]";
-            const toml::table* fault = (*faults)[i].as_table();
-            if (!fault) throw ExperimentError(where, "a table is wanted");
-            e.faults.push_back(read_fault(*fault, where));
-        }
-    }
-    top.finish();
-    if (e.warmup_s >= e.seconds) throw ExperimentError("warmup_s", "must be shorter than `seconds`");
-    return e;
+}
+
+}  // namespace
+
+Experiment load_experiment(const std::string& path) {
+    const toml::table file = parse_file(path);
+    Experiment experiment;
+    TomlTable top(file, "");
+    read_run(top, experiment);
+    top.read_table("fleet", [&](TomlTable& table) { read_fleet(table, experiment); });
+    top.read_table("servers", [&](TomlTable& table) { read_servers(table, experiment); });
+    top.read_table("load", [&](TomlTable& table) { read_load(table, experiment); });
+    apply_class_defaults(experiment);
+    top.read_table("relay", [&](TomlTable& table) { read_relay(table, experiment); });
+    top.read_tables("faults", [&](TomlTable& entry) { experiment.faults.push_back(read_fault(entry)); });
+    top.reject_unknown_fields();
+    if (experiment.warmup_s >= experiment.seconds)
+        throw ExperimentError("warmup_s", "must be shorter than `seconds`");
+    return experiment;
 }
 
 }  // namespace ochregrade::lab
--- a/src/lab/history.cpp
+++ b/src/lab/history.cpp
@@ -1,13 +1,10 @@
 #include "lab/history.hpp"
 
 #include <algorithm>
-#include <charconv>
 #include <cmath>
-#include <cstdio>
-#include <ctime>
 #include <fstream>
-#include <set>
-#include <string_view>
+
+#include "lab/figures.hpp"
 
 namespace ochregrade::lab {
 
@@ -15,169 +12,170 @@
 
 using nlohmann::json;
 
-// A server that failed until just now is still rightly removed for what it did; the last evidence lives 10 s.
-constexpr double kAftermath = 12000;
-
-// "2026-12-01T20:56:21.123456Z" in Unix ms.
-std::optional<double> unix_ms(const std::string& text) {
-    std::tm tm{};
-    double seconds = 0;
-    if (std::sscanf(text.c_str(), "%d-%d-%dT%d:%d:%lfZ", &tm.tm_year, &tm.tm_mon, &tm.tm_mday, &tm.tm_hour,
-                    &tm.tm_min, &seconds) != 6)
-        return {};
-    tm.tm_year -= 1900, tm.tm_mon -= 1;
-    return static_cast<double>(timegm(&tm)) * 1000 + seconds * 1000;
-}
-
-// The lab names its servers s-NNN.
-std::optional<int> server_of(std::string_view text) {
-    int number = 0;
-    if (text.substr(0, 2) != "s-") return {};
-    const auto [end, ec] = std::from_chars(text.data() + 2, text.data() + text.size(), number);
-    return ec == std::errc() ? std::optional(number) : std::nullopt;
-}
+// A server that failed until just now is still rightly ejected for what it did; evidence expires after 10 s.
+constexpr double kEvidenceTtlMs = 12000;
 
-json spread(const std::vector<double>& values) {
+json distribution(const std::vector<double>& values) {
     return {{"n", values.size()},
             {"p50", std::round(percentile(values, 0.5))},
             {"p99", std::round(percentile(values, 0.99))},
             {"max", values.empty() ? 0 : std::round(*std::max_element(values.begin(), values.end()))}};
 }
 
+std::vector<int> indices(const json& event, const char* key) {
+    return event.contains(key) ? event[key].get<std::vector<int>>() : std::vector<int>{};
+}
+
 }  // namespace
 
-double percentile(std::vector<double> values, double p) {
-    if (values.empty()) return 0;
-    std::sort(values.begin(), values.end());
-    const auto at =
-        static_cast<std::size_t>(std::ceil(p * static_cast<double>(values.size()))) - (p > 0 ? 1 : 0);
-    return values[std::min(at, values.size() - 1)];
+void History::add_event(double time_ms, const json& event) {
+    const std::string kind = event.value("event", "");
+    if (kind == "fault") {
+        begin_fault(time_ms, event);
+    } else if (kind == "fault_over" || kind == "fault_failed") {
+        end_fault(time_ms, event.value("number", -1));
+    } else if (kind == "load_over") {
+        load_ended_ = time_ms;
+    }
 }
 
-std::optional<Line> read_line(const std::string& text) {
-    const json line = json::parse(text, nullptr, false);
-    if (!line.is_object() || !line.contains("t") || !line.contains("msg") || !line["t"].is_string() ||
-        !line["msg"].is_string())
-        return {};
-    const auto at = unix_ms(line["t"]);
-    return at ? std::optional(Line{*at, line["msg"]}) : std::nullopt;
+void History::begin_fault(double time_ms, const json& event) {
+    open_faults_[event.value("number", -1)] = {time_ms, indices(event, "servers"),
+                                               indices(event, "sidecars")};
+    if (event.value("rollout", 1.0) < 1) partial_rollouts_.insert(event.value("epoch", 0U));
 }
 
-void History::happened(double at, const json& event) {
-    const std::string what = event.value("event", "");
-    const int number = event.value("number", -1);
-    if (what == "fault") {
-        open_[number] = {at, 0};
-        if (event.contains("servers")) open_servers_[number] = event["servers"].get<std::vector<int>>();
-        if (event.value("rollout", 1.0) < 1) staged_.insert(event.value("epoch", 0u));
-        if (event.contains("sidecars")) open_sidecars_[number] = event["sidecars"].get<std::vector<int>>();
-    } else if (what == "load_over") {
-        over_ = at;
-    } else if (what == "fault_over" || what == "fault_failed") {
-        Span span = open_[number];
-        span.to = at;
-        for (const int server : open_servers_[number]) bad_[server].push_back(span);
-        for (const int sidecar : open_sidecars_[number]) away_.emplace_back(sidecar, span);
-    }
+void History::end_fault(double time_ms, int number) {
+    const OpenFault& fault = open_faults_[number];
+    const Interval interval{fault.began, time_ms};
+    for (const int server : fault.servers) faulty_[server].push_back(interval);
+    for (const int sidecar : fault.sidecars) unavailable_.emplace_back(sidecar, interval);
 }
 
 void History::read_log(int sidecar, const std::filesystem::path& path) {
     std::ifstream file(path);
     for (std::string text; std::getline(file, text);)
-        if (const auto line = read_line(text)) said(sidecar, *line);
+        if (const auto line = parse_log_line(text)) add_log_line(sidecar, *line);
 }
 
-void History::said(int sidecar, const Line& line) {
-    const std::string_view text = line.text;
-    if (const auto server = server_of(text); server && text.find(" removed from the pool") != text.npos)
-        removals_[*server].push_back({sidecar, line.at, text.find("on the word of") != text.npos});
-    if (text.rfind("caught up with the fleet after ", 0) == 0)
-        catch_up_.push_back(std::atof(line.text.c_str() + 31));
-    Acts a;
-    a.at = line.at;
-    if (std::sscanf(line.text.c_str(), "acts on settings %u.%x list %u.%u", &a.settings.first,
-                    &a.settings.second, &a.list.first, &a.list.second) == 4)
-        acts_[sidecar].push_back(a);
-    if (text.find("lines left out") != text.npos)
-        left_out_ += static_cast<std::size_t>(std::atol(line.text.c_str()));
+void History::add_log_line(int sidecar, const LogLine& line) {
+    if (const auto ejection = parse_ejection(line.text))
+        ejections_[ejection->server].push_back({sidecar, line.time_ms, ejection->by_quorum});
+    if (const auto catch_up_ms = parse_catch_up_ms(line.text)) catch_up_ms_.push_back(*catch_up_ms);
+    if (const auto versions = parse_versions(line.text))
+        versions_[sidecar].push_back({line.time_ms, *versions});
+    omitted_lines_ += parse_omitted_lines(line.text);
 }
 
-bool History::bad(int server, double at) const {
-    const auto spans = bad_.find(server);
-    return spans != bad_.end() && std::any_of(spans->second.begin(), spans->second.end(), [&](const Span& s) {
-               return at >= s.from && at <= s.to + kAftermath;
-           });
+bool History::was_faulty(int server, double time_ms) const {
+    const auto intervals = faulty_.find(server);
+    if (intervals == faulty_.end()) return false;
+    return std::any_of(intervals->second.begin(), intervals->second.end(), [&](const Interval& fault) {
+        return time_ms >= fault.from && time_ms <= fault.to + kEvidenceTtlMs;
+    });
 }
 
-// Who is killed, stopped or cut off is held to it from its return on.
-double History::held_from(int sidecar, double since, double until) const {
-    for (const auto& [who, span] : away_)
-        if (who == sidecar && span.from <= until && span.to >= since) since = std::max(since, span.to);
+double History::expected_from(int sidecar, double since, double until) const {
+    for (const auto& [who, interval] : unavailable_)
+        if (who == sidecar && interval.from <= until && interval.to >= since)
+            since = std::max(since, interval.to);
     return since;
 }
 
+// When each version was first acted on by any sidecar.
+std::map<Version, double> History::first_uses(VersionField field) const {
+    std::map<Version, double> first;
+    for (const auto& [sidecar, changes] : versions_)
+        for (const VersionChange& change : changes) {
+            const auto [use, is_new] = first.try_emplace(change.versions.*field, change.time_ms);
+            if (!is_new) use->second = std::min(use->second, change.time_ms);
+        }
+    return first;
+}
+
 // How long after the first of all each sidecar came to act on each version, or a later one: for so long two
 // acted on contradicting ones.
-json History::lags(bool of_lists) const {
-    std::map<std::pair<std::uint32_t, std::uint32_t>, double> first;
-    for (const auto& [sidecar, all] : acts_)
-        for (const Acts& a : all) {
-            const auto& place = of_lists ? a.list : a.settings;
-            const auto [at, fresh] = first.try_emplace(place, a.at);
-            if (!fresh) at->second = std::min(at->second, a.at);
-        }
+json History::version_lags(VersionField field, const std::set<std::uint32_t>& excluded) const {
+    const std::map<Version, double> first = first_uses(field);
     std::vector<double> lags;
-    std::size_t never = 0, changes = 0;
-    for (const auto& [place, since] : first) {
-        if (place == first.begin()->first || since > over_) continue;  // what they all started with
-        if (!of_lists && staged_.count(place.first)) continue;
+    std::size_t never = 0;
+    std::size_t changes = 0;
+    for (const auto& [version, since] : first) {
+        const bool initial = version == first.begin()->first;  // what they all started with
+        if (initial || since > load_ended_ || excluded.count(version.major) > 0) continue;
         ++changes;
-        for (const auto& [sidecar, all] : acts_) {
-            const auto at = std::find_if(all.begin(), all.end(), [&, p = place](const Acts& a) {
-                return (of_lists ? a.list : a.settings) >= p;
-            });
-            const double until = at == all.end() ? over_ : at->at;
-            lags.push_back(std::max(0.0, until - held_from(sidecar, since, until)));
-            never += at == all.end();
+        for (const auto& [sidecar, sidecar_changes] : versions_) {
+            const auto reached = std::find_if(
+                sidecar_changes.begin(), sidecar_changes.end(),
+                [field, wanted = version](const VersionChange& c) { return !(c.versions.*field < wanted); });
+            const bool missing = reached == sidecar_changes.end();
+            const double until = missing ? load_ended_ : reached->time_ms;
+            lags.push_back(std::max(0.0, until - expected_from(sidecar, since, until)));
+            never += missing ? 1 : 0;
+        }
+    }
+    json figures = distribution(lags);
+    figures["changes"] = changes;
+    figures["never"] = never;
+    return figures;
+}
+
+const std::vector<History::Ejection>& History::ejections_of(int server) const {
+    static const std::vector<Ejection> none;
+    const auto found = ejections_.find(server);
+    return found == ejections_.end() ? none : found->second;
+}
+
+struct History::EjectionFigures {
+    std::vector<double> after_ms;            // of faulty servers, since their fault began
+    std::vector<double> by_quorum_after_ms;  // those of them on others' evidence
+    std::size_t faults = 0;                  // servers times faults of theirs
+    std::size_t healthy = 0;
+    std::size_t healthy_by_quorum = 0;
+};
+
+void History::count_healthy(int server, EjectionFigures& figures) const {
+    for (const Ejection& ejection : ejections_of(server)) {
+        if (was_faulty(server, ejection.time_ms)) continue;
+        ++figures.healthy;
+        figures.healthy_by_quorum += ejection.by_quorum ? 1 : 0;
+    }
+}
+
+// The first ejection by each sidecar counts for each fault.
+void History::count_faulty(int server, EjectionFigures& figures) const {
+    const auto faults = faulty_.find(server);
+    if (faults == faulty_.end()) return;
+    for (const Interval& fault : faults->second) {
+        ++figures.faults;
+        std::set<int> counted_sidecars;
+        for (const Ejection& ejection : ejections_of(server)) {
+            if (ejection.time_ms < fault.from || ejection.time_ms > fault.to + kEvidenceTtlMs) continue;
+            if (!counted_sidecars.insert(ejection.sidecar).second) continue;
+            const double after_ms = ejection.time_ms - fault.from;
+            figures.after_ms.push_back(after_ms);
+            if (ejection.by_quorum) figures.by_quorum_after_ms.push_back(after_ms);
         }
     }
-    json j = spread(lags);
-    j["changes"] = changes, j["never"] = never;
-    return j;
 }
 
 json History::figures(int servers) const {
-    std::vector<double> all, hearsay;
-    std::size_t sound = 0, sound_hearsay = 0, pairs = 0;
+    EjectionFigures ejected;
     for (int server = 0; server < servers; ++server) {
-        const auto at = removals_.find(server);
-        if (at != removals_.end())
-            for (const Removal& r : at->second)
-                if (!bad(server, r.at)) ++sound, sound_hearsay += r.hearsay;
-        const auto spans = bad_.find(server);
-        if (spans == bad_.end()) continue;
-        for (const Span& span : spans->second) {
-            ++pairs;
-            std::set<int> counted;  // the first time that each learnt of it
-            if (at == removals_.end()) continue;
-            for (const Removal& r : at->second) {
-                if (r.at < span.from || r.at > span.to + kAftermath || !counted.insert(r.sidecar).second)
-                    continue;
-                all.push_back(r.at - span.from);
-                if (r.hearsay) hearsay.push_back(r.at - span.from);
-            }
-        }
+        count_healthy(server, ejected);
+        count_faulty(server, ejected);
     }
-    return {{"bad_servers", pairs},
-            {"removed_by", pairs ? static_cast<double>(all.size()) / static_cast<double>(pairs) : 0},
-            {"removed_after_ms", spread(all)},
-            {"removed_on_hearsay_after_ms", spread(hearsay)},
-            {"sound_servers_removed", sound},
-            {"sound_servers_removed_on_hearsay", sound_hearsay},
-            {"caught_up_after_ms", spread(catch_up_)},
-            {"list_lag_ms", lags(true)},
-            {"settings_lag_ms", lags(false)},
-            {"log_lines_left_out", left_out_}};
+    const auto removals = static_cast<double>(ejected.after_ms.size());
+    return {{"bad_servers", ejected.faults},
+            {"removed_by", ejected.faults > 0 ? removals / static_cast<double>(ejected.faults) : 0},
+            {"removed_after_ms", distribution(ejected.after_ms)},
+            {"removed_on_hearsay_after_ms", distribution(ejected.by_quorum_after_ms)},
+            {"sound_servers_removed", ejected.healthy},
+            {"sound_servers_removed_on_hearsay", ejected.healthy_by_quorum},
+            {"caught_up_after_ms", distribution(catch_up_ms_)},
+            {"list_lag_ms", version_lags(&VersionsInUse::list, {})},
+            {"settings_lag_ms", version_lags(&VersionsInUse::settings, partial_rollouts_)},
+            {"log_lines_left_out", omitted_lines_}};
 }
 
 }  // namespace ochregrade::lab
--- a/src/lab/history.hpp
+++ b/src/lab/history.hpp
@@ -1,68 +1,79 @@
-// What a run's sidecars said in their logs, set against what the lab did to them: when each learnt of a bad
-// server, which sound ones were removed, and how soon a started one had caught up.
+/// @file
+/// What a run's sidecars wrote in their logs, set against what the lab did to them: when each ejected a
+/// faulty server, which healthy ones were ejected, how soon a started sidecar had caught up, and for how long
+/// two acted on different versions. Times are Unix milliseconds.
 #pragma once
 
 #include <filesystem>
 #include <map>
 #include <nlohmann/json.hpp>
-#include <optional>
 #include <set>
 #include <string>
+#include <utility>
 #include <vector>
 
-namespace ochregrade::lab {
+#include "lab/sidecar_log.hpp"
 
-// A line of a sidecar's log. Times are Unix milliseconds.
-struct Line {
-    double at = 0;
-    std::string text;
-};
-// Reads one JSON line; none where it is no line of a sidecar's.
-std::optional<Line> read_line(const std::string& json);
+namespace ochregrade::lab {
 
 class History {
 public:
-    // What the lab did: an event of its own log (lab.jsonl).
-    void happened(double at_ms, const nlohmann::json& event);
+    /// Takes in an event of the lab's own log (lab.jsonl).
+    void add_event(double time_ms, const nlohmann::json& event);
+    /// Takes in a sidecar's log.
     void read_log(int sidecar, const std::filesystem::path& path);
-    void said(int sidecar, const Line& line);
 
-    // Figures of a run with so many servers; times in ms.
+    /// Figures of a run with this many servers, for the report's `shared`; times in ms.
     nlohmann::json figures(int servers) const;
 
 private:
-    struct Span {
-        double from = 0, to = 0;
+    struct Interval {
+        double from = 0;
+        double to = 0;
     };
-    struct Removal {
+    struct Ejection {
         int sidecar = 0;
-        double at = 0;
-        bool hearsay = false;
+        double time_ms = 0;
+        bool by_quorum = false;
+    };
+    struct VersionChange {
+        double time_ms = 0;
+        VersionsInUse versions;
     };
-    struct Acts {  // on versions, from then on
-        double at = 0;
-        std::pair<std::uint32_t, std::uint32_t> settings, list;
+    /// A fault that has begun.
+    struct OpenFault {
+        double began = 0;
+        std::vector<int> servers;
+        std::vector<int> sidecars;
     };
-    bool bad(int server, double at) const;
-    // From when on a sidecar can be held to a version that somebody acted on from `since`, and the end of the
-    // run.
-    double held_from(int sidecar, double since, double until) const;
-    nlohmann::json lags(bool of_lists) const;
+    /// A field of VersionsInUse: which kind of version figures are about.
+    using VersionField = Version VersionsInUse::*;
+    struct EjectionFigures;
 
-    std::map<int, std::vector<Span>> bad_;          // servers, while a fault of their own was on
-    std::map<int, Span> open_;                      // by the fault's number
-    std::map<int, std::vector<int>> open_servers_;  // by the same
-    std::map<int, std::vector<Removal>> removals_;  // by server
-    std::vector<double> catch_up_;
-    std::vector<std::pair<int, Span>> away_;  // sidecars killed or stopped
-    std::map<int, std::vector<int>> open_sidecars_;
-    std::map<int, std::vector<Acts>> acts_;  // by sidecar
-    std::set<std::uint32_t> staged_;         // epochs for a part of the fleet
-    double over_ = 0;                        // when load ended
-    std::size_t left_out_ = 0;
-};
+    void begin_fault(double time_ms, const nlohmann::json& event);
+    void end_fault(double time_ms, int number);
+    void add_log_line(int sidecar, const LogLine& line);
+
+    bool was_faulty(int server, double time_ms) const;
+    const std::vector<Ejection>& ejections_of(int server) const;
+    void count_healthy(int server, EjectionFigures& figures) const;
+    void count_faulty(int server, EjectionFigures& figures) const;
 
-// The value that a share p of all is no greater than; 0 of none.
-double percentile(std::vector<double> values, double p);
+    /// From when on a sidecar is expected to act on a version that somebody acted on at `since`: at the end
+    /// of faults that it was subject to between `since` and `until`.
+    double expected_from(int sidecar, double since, double until) const;
+    std::map<Version, double> first_uses(VersionField field) const;
+    nlohmann::json version_lags(VersionField field, const std::set<std::uint32_t>& excluded) const;
+
+    std::map<int, OpenFault> open_faults_;                // by the fault's number
+    std::map<int, std::vector<Interval>> faulty_;         // by server, faults of their own
+    std::vector<std::pair<int, Interval>> unavailable_;   // sidecars killed, stopped or cut off
+    std::map<int, std::vector<Ejection>> ejections_;      // by server
+    std::map<int, std::vector<VersionChange>> versions_;  // by sidecar
+    std::vector<double> catch_up_ms_;
+    std::set<std::uint32_t> partial_rollouts_;  // settings epochs for a part of the fleet
+    double load_ended_ = 0;
+    std::size_t omitted_lines_ = 0;
+};
 
 }  // namespace ochregrade::lab
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -1,12 +1,15 @@
-// ochregrade_lab: the fleet lab. Starts stand-ins and many real sidecars on loopback, plays load and faults
-// from an experiment file, and writes a report.
-//   ochregrade_lab run EXPERIMENT.toml --program build/ochregrade --out lab-runs/NAME
-//   ochregrade_lab check EXPERIMENT.toml
+/// @file
+/// ochregrade_lab: the fleet lab. Starts fakes and many real sidecars on loopback, executes load and faults
+/// from an experiment file, and writes a report.
+///   ochregrade_lab run EXPERIMENT.toml --program build/ochregrade --out lab-runs/NAME
+///   ochregrade_lab check EXPERIMENT.toml
+/// Exit status: 0, 1 where the run failed, 2 where the experiment is invalid.
 #include <spdlog/sinks/basic_file_sink.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
 #include <CLI/CLI.hpp>
+#include <cstdint>
 #include <filesystem>
 #include <iostream>
 
@@ -15,73 +18,112 @@
 
 namespace {
 
+using ochregrade::lab::Experiment;
+using ochregrade::lab::ExperimentError;
+
+constexpr int kRunFailed = 1;
+constexpr int kInvalidExperiment = 2;
+
+struct CommandLine {
+    std::string experiment_path;
+    std::string program = "build/ochregrade";
+    std::string out;
+    // In place of the experiment's own; negative: not given.
+    std::int64_t seed = -1;
+    std::int64_t sidecars = -1;
+    std::int64_t servers = -1;
+    double seconds = -1;
+    bool quiet = false;
+};
+
+void add_run_command(CLI::App& app, CommandLine& line) {
+    CLI::App* run = app.add_subcommand("run", "run an experiment and write its report");
+    run->add_option("experiment", line.experiment_path, "the experiment, a TOML file")
+        ->required()
+        ->check(CLI::ExistingFile);
+    run->add_option("--program", line.program, "the sidecar to start")->check(CLI::ExistingFile);
+    run->add_option("--out", line.out, "the report's folder (lab-runs/NAME-SEED if not given)");
+    run->add_option("--seed", line.seed, "in place of the file's seed")->check(CLI::NonNegativeNumber);
+    run->add_option("--sidecars", line.sidecars, "in place of fleet.sidecars")->check(CLI::Range(1, 2000));
+    run->add_option("--servers", line.servers, "in place of servers.count")->check(CLI::Range(1, 2000));
+    run->add_option("--seconds", line.seconds, "in place of seconds")->check(CLI::Range(1.0, 3600.0));
+    run->add_flag("--quiet", line.quiet, "events only to the log file, not to standard error");
+}
+
+CLI::App* add_check_command(CLI::App& app, CommandLine& line) {
+    CLI::App* check = app.add_subcommand("check", "read an experiment and tell whether it is valid");
+    check->add_option("experiment", line.experiment_path, "the experiment, a TOML file")
+        ->required()
+        ->check(CLI::ExistingFile);
+    return check;
+}
+
+// The experiment of the file, with what the command line has in place of its fields.
+Experiment read_experiment(const CommandLine& line) {
+    Experiment experiment = ochregrade::lab::load_experiment(line.experiment_path);
+    if (line.seed >= 0) experiment.seed = static_cast<std::uint64_t>(line.seed);
+    if (line.sidecars > 0) experiment.sidecars = static_cast<int>(line.sidecars);
+    if (line.servers > 0) experiment.servers = static_cast<int>(line.servers);
+    if (line.seconds > 0) experiment.seconds = line.seconds;
+    if (experiment.warmup_s >= experiment.seconds) throw ExperimentError("seconds", "shorter than warmup_s");
+    return experiment;
+}
+
 // Structured logs: one JSON object a line, its fields those of the event.
 std::shared_ptr<spdlog::logger> json_logger(const std::filesystem::path& file, bool quiet) {
     std::vector<spdlog::sink_ptr> sinks;
     sinks.push_back(std::make_shared<spdlog::sinks::basic_file_sink_st>(file.string(), true));
     if (!quiet) sinks.push_back(std::make_shared<spdlog::sinks::stderr_sink_st>());
     auto logger = std::make_shared<spdlog::logger>("lab", sinks.begin(), sinks.end());
-    logger->set_pattern("{\"t\":\"%Y-%m-%dT%H:%M:%S.%fZ\",\"level\":\"%l\",\"fields\":%v}",
+    logger->set_pattern(R"({"t":"%Y-%m-%dT%H:%M:%S.%fZ","level":"%l","fields":%v})",
                         spdlog::pattern_time_type::utc);
     logger->flush_on(spdlog::level::info);
     return logger;
 }
 
+std::filesystem::path report_folder(const CommandLine& line, const Experiment& experiment) {
+    if (!line.out.empty()) return line.out;
+    const std::string name = experiment.name.empty() ? "run" : experiment.name;
+    return std::filesystem::path("lab-runs") / (name + "-" + std::to_string(experiment.seed));
+}
+
+void run(const CommandLine& line, const Experiment& experiment) {
+    const std::filesystem::path out = report_folder(line, experiment);
+    std::filesystem::create_directories(out);
+    const auto log = json_logger(out / "lab.jsonl", line.quiet);
+    const ochregrade::lab::RunOptions options{std::filesystem::absolute(line.program).string(),
+                                              std::filesystem::absolute(out)};
+    const auto summary = ochregrade::lab::run_experiment(experiment, options, log);
+    std::cout << summary.dump(2) << "\n";
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app{"The fleet lab: many real sidecars, stand-ins for what they serve, faults, reports."};
+    CLI::App app{"The fleet lab: many real sidecars, fakes of what they talk to, faults, reports."};
     app.require_subcommand(1);
-    std::string path, program = "build/ochregrade", out;
-    std::int64_t seed = -1, sidecars = -1, servers = -1;
-    double seconds = -1;
-    bool quiet = false;
-
-    CLI::App* run = app.add_subcommand("run", "play an experiment and write its report");
-    run->add_option("experiment", path, "the experiment, a TOML file")->required()->check(CLI::ExistingFile);
-    run->add_option("--program", program, "the sidecar to start")->check(CLI::ExistingFile);
-    run->add_option("--out", out, "the report's folder (lab-runs/NAME-SEED if not given)");
-    run->add_option("--seed", seed, "in place of the file's seed")->check(CLI::NonNegativeNumber);
-    run->add_option("--sidecars", sidecars, "in place of fleet.sidecars")->check(CLI::Range(1, 2000));
-    run->add_option("--servers", servers, "in place of servers.count")->check(CLI::Range(1, 2000));
-    run->add_option("--seconds", seconds, "in place of seconds")->check(CLI::Range(1.0, 3600.0));
-    run->add_flag("--quiet", quiet, "events only to the log file, not to standard error");
-    CLI::App* check = app.add_subcommand("check", "read an experiment and say whether it is a good one");
-    check->add_option("experiment", path, "the experiment, a TOML file")
-        ->required()
-        ->check(CLI::ExistingFile);
+    CommandLine line;
+    add_run_command(app, line);
+    const CLI::App* check = add_check_command(app, line);
     CLI11_PARSE(app, argc, argv);
 
-    ochregrade::lab::Experiment experiment;
+    Experiment experiment;
     try {
-        experiment = ochregrade::lab::load_experiment(path);
-        if (seed >= 0) experiment.seed = static_cast<std::uint64_t>(seed);
-        if (sidecars > 0) experiment.sidecars = static_cast<int>(sidecars);
-        if (servers > 0) experiment.servers = static_cast<int>(servers);
-        if (seconds > 0) experiment.seconds = seconds;
-        if (experiment.warmup_s >= experiment.seconds)
-            throw ochregrade::lab::ExperimentError("seconds", "shorter than warmup_s");
-    } catch (const ochregrade::lab::ExperimentError& error) {
-        std::cerr << "ochregrade_lab: " << path << ": " << error.what() << "\n";
-        return 2;
+        experiment = read_experiment(line);
+    } catch (const ExperimentError& error) {
+        std::cerr << "ochregrade_lab: " << line.experiment_path << ": " << error.what() << "\n";
+        return kInvalidExperiment;
     }
     if (check->parsed()) {
-        std::cout << path << ": good, " << experiment.sidecars << " sidecars, " << experiment.servers
-                  << " servers, " << experiment.faults.size() << " faults\n";
+        std::cout << line.experiment_path << ": good, " << experiment.sidecars << " sidecars, "
+                  << experiment.servers << " servers, " << experiment.faults.size() << " faults\n";
         return 0;
     }
-    if (out.empty())
-        out = "lab-runs/" + (experiment.name.empty() ? "run" : experiment.name) + "-" +
-              std::to_string(experiment.seed);
     try {
-        std::filesystem::create_directories(out);
-        auto log = json_logger(std::filesystem::path(out) / "lab.jsonl", quiet);
-        const auto summary = ochregrade::lab::run_experiment(
-            experiment, {std::filesystem::absolute(program).string(), std::filesystem::absolute(out)}, log);
-        std::cout << summary.dump(2) << "\n";
+        run(line, experiment);
     } catch (const std::exception& error) {
         std::cerr << "ochregrade_lab: " << error.what() << "\n";
-        return 1;
+        return kRunFailed;
     }
     return 0;
 }
--- a/tests/lab/relay_test.cpp
+++ b/tests/lab/relay_test.cpp
@@ -1,4 +1,4 @@
-// The lab's datagram relay: what passes, as whom, and what its faults drop or repeat.
+// The lab's datagram relay: what it forwards, from which address, and what its faults drop or duplicate.
 #include "lab/relay.hpp"
 
 #include <gtest/gtest.h>
@@ -9,8 +9,8 @@
 using ochregrade::lab::Relay;
 namespace asio = boost::asio;
 
-struct Rig {
-    explicit Rig(double loss = 0, double duplicate = 0) {
+struct RelayWithPeers {
+    explicit RelayWithPeers(double loss = 0, double duplicate = 0) {
         experiment.sidecars = 3;
         experiment.seconds = 10;
         experiment.relay_loss = loss;
@@ -26,13 +26,13 @@
     void send(int from, int to, std::size_t size = 8) {
         const std::vector<std::uint8_t> bytes(size, static_cast<std::uint8_t>(from));
         const udp::endpoint at(asio::ip::address_v4::loopback(),
-                               to < 0 ? relay->all_port() : relay->port(to));
+                               to < 0 ? relay->broadcast_port() : relay->port(to));
         peers[static_cast<std::size_t>(from)].send_to(asio::buffer(bytes), at);
     }
-    // Runs the relay until it has judged `passes` datagrams (a copy to each receiver counts), 5 s at most.
-    void settle(std::uint64_t passes) {
+    // Runs the relay until it has handled this many datagrams (a copy to each receiver counts), 5 s at most.
+    void settle(std::uint64_t datagrams) {
         const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(5);
-        while (recorder.seconds()[0].datagrams < passes && std::chrono::steady_clock::now() < until)
+        while (recorder.seconds()[0].datagrams < datagrams && std::chrono::steady_clock::now() < until)
             io.run_for(std::chrono::milliseconds(5));
     }
     // What reached `at` so far: the sender's relay port each. The relay sends at once, so after settle() all
@@ -57,50 +57,50 @@
 };
 
 TEST(Relay, PassesADatagramFromTheSendersOwnAddress) {
-    Rig rig;
-    rig.send(0, 1);
-    rig.settle(1);
-    EXPECT_EQ(rig.received(1), std::vector<std::uint16_t>{rig.relay->port(0)});
-    EXPECT_TRUE(rig.received(2).empty());
+    RelayWithPeers setup;
+    setup.send(0, 1);
+    setup.settle(1);
+    EXPECT_EQ(setup.received(1), std::vector<std::uint16_t>{setup.relay->port(0)});
+    EXPECT_TRUE(setup.received(2).empty());
 }
 
 TEST(Relay, ToAllReachesEveryoneButTheSender) {
-    Rig rig;
-    rig.send(2, -1);
-    rig.settle(2);
-    EXPECT_EQ(rig.received(0), std::vector<std::uint16_t>{rig.relay->port(2)});
-    EXPECT_EQ(rig.received(1), std::vector<std::uint16_t>{rig.relay->port(2)});
-    EXPECT_TRUE(rig.received(2).empty());
+    RelayWithPeers setup;
+    setup.send(2, -1);
+    setup.settle(2);
+    EXPECT_EQ(setup.received(0), std::vector<std::uint16_t>{setup.relay->port(2)});
+    EXPECT_EQ(setup.received(1), std::vector<std::uint16_t>{setup.relay->port(2)});
+    EXPECT_TRUE(setup.received(2).empty());
 }
 
 TEST(Relay, CutsOffOneWayOrBothAndHeals) {
-    Rig rig;
-    rig.relay->cut({1}, /*inbound=*/true, /*outbound=*/false);
-    rig.send(0, 1);
-    rig.send(1, 0);
-    rig.settle(2);
-    EXPECT_TRUE(rig.received(1).empty());
-    EXPECT_EQ(rig.received(0).size(), 1u);  // what 1 sends still goes out
-    rig.relay->heal();
-    rig.send(0, 1);
-    rig.settle(3);
-    EXPECT_EQ(rig.received(1).size(), 1u);
+    RelayWithPeers setup;
+    setup.relay->cut({1}, /*inbound=*/true, /*outbound=*/false);
+    setup.send(0, 1);
+    setup.send(1, 0);
+    setup.settle(2);
+    EXPECT_TRUE(setup.received(1).empty());
+    EXPECT_EQ(setup.received(0).size(), 1u);  // what 1 sends still goes out
+    setup.relay->heal();
+    setup.send(0, 1);
+    setup.settle(3);
+    EXPECT_EQ(setup.received(1).size(), 1u);
 }
 
 TEST(Relay, LosesRepeatsAndRefusesOversize) {
-    Rig lossy(/*loss=*/1.0);
+    RelayWithPeers lossy(/*loss=*/1.0);
     lossy.send(0, 1);
     lossy.settle(1);
     EXPECT_TRUE(lossy.received(1).empty());
-    Rig twice(/*loss=*/0, /*duplicate=*/1.0);
+    RelayWithPeers twice(/*loss=*/0, /*duplicate=*/1.0);
     twice.send(0, 1);
     twice.settle(1);
     EXPECT_EQ(twice.received(1).size(), 2u);
-    Rig rig;
-    rig.send(0, 1, 257);
-    rig.settle(1);
-    EXPECT_TRUE(rig.received(1).empty());
-    EXPECT_EQ(rig.relay->oversize(), 1u);
+    RelayWithPeers setup;
+    setup.send(0, 1, 257);
+    setup.settle(1);
+    EXPECT_TRUE(setup.received(1).empty());
+    EXPECT_EQ(setup.relay->oversize(), 1u);
 }
 
 }  // namespace
