--- /dev/null
+++ b/src/balancer/admission_controller.cpp
@@ -0,0 +1,61 @@
+#include "balancer/admission_controller.hpp"
+
+#include <cmath>
+
+#include "balancer/latency_ratio.hpp"
+
+namespace ochregrade::detail {
+
+namespace {
+
+// Change of the limit, in attempts, for each answer and unit of latency ratio off the target.
+constexpr double kLimitGain = 0.5;
+// Attempts at an endpoint by all sidecars together that admission always leaves.
+constexpr double kMinAttemptsPerEndpoint = 4;
+// The share of the limit that is there for every class, however low its weight, and all that client retries
+// get: a retry's objective has been running since its first try.
+constexpr double kCommonShare = 0.6;
+// Good ratios count for more the longer none came, on this scale: a sidecar that sheds most of its requests
+// gets few.
+constexpr Millis kUtilisationMemory = 5000;
+// Weight of a peer's report in our own estimate.
+constexpr double kPeerReportWeight = 0.1;
+
+}  // namespace
+
+bool AdmissionController::admits(double priority_weight, double highest_priority_weight, bool client_retry) {
+    const double share = kCommonShare + (1 - kCommonShare) * priority_weight / highest_priority_weight *
+                                            (client_retry ? 0 : 1);
+    const double limit = limit_ * share;
+    return in_flight_ < limit && (limit >= 1 || context_.random.unit() < limit);
+}
+
+void AdmissionController::record_latency_ratio(double ratio) {
+    // Smoothed: one slow answer must not lower the limit of a sidecar with few others to set against it.
+    const double staleness =
+        ratio < utilisation_ ? 1 - std::exp((updated_at_ - context_.now) / kUtilisationMemory) : 0;
+    utilisation_ += (ratio - utilisation_) * std::max(2.0 / kSmoothingWindow, staleness);
+    updated_at_ = context_.now;
+    smooth(peak_in_flight_, in_flight_);
+    peak_in_flight_ = std::max<double>(peak_in_flight_, in_flight_);
+    const double step = kLimitGain * (kTargetLatencyRatio - utilisation_);
+    if (step < 0)
+        limit_ = std::max(minimum_limit(), std::min(limit_, peak_in_flight_ + 1.0) + step);
+    else if (in_flight_ + 1 > limit_ / 2)  // it only grows while it is used
+        limit_ = std::min(kInitialLimit, limit_ + step);
+}
+
+void AdmissionController::record_peer_latency_ratio(double ratio) {
+    utilisation_ += (ratio - utilisation_) * kPeerReportWeight;
+}
+
+void AdmissionController::record_capacity_change(double before, double after) {
+    if (!(after < before) || !subset_.is_traffic_sparse()) return;
+    limit_ = std::max(minimum_limit(), std::min(limit_, peak_in_flight_) * after / before);
+}
+
+double AdmissionController::fleet_share() const {
+    return std::min(1.0, kMinAttemptsPerEndpoint / std::max(1u, context_.settings->sidecar_count));
+}
+
+}  // namespace ochregrade::detail
--- /dev/null
+++ b/src/balancer/ejection_state.hpp
@@ -0,0 +1,65 @@
+// Ejection state of one endpoint: the window of its last outcomes and its place in the cycle available,
+// ejected, half-open. outlier_detection decides when it changes. Times are milliseconds.
+//
+// Source: io.l5d.successRate, Linkerd's success-rate failure accrual, with the figures its authors showed;
+// the half-open trial is that of a circuit breaker.
+#pragma once
+
+#include <algorithm>
+#include <bit>
+#include <cstdint>
+
+#include "ochregrade/settings.hpp"
+
+namespace ochregrade::detail {
+
+/// Outcomes in a window.
+constexpr int kOutcomeWindow = 20;
+/// From an ejection to the half-open trial.
+constexpr Millis kEjectionBackoff = 10000;
+
+class EjectionState {
+public:
+    bool is_available() const { return health_ == Health::available; }
+    bool is_ejected() const { return health_ == Health::ejected; }
+    bool is_half_open() const { return health_ == Health::half_open; }
+    /// Its backoff is over: the next request is its half-open trial.
+    bool is_trial_due(Millis now) const { return is_ejected() && now >= backoff_until_; }
+    bool is_ejected_by_fleet() const { return ejected_by_fleet_; }
+    Millis backoff_until() const { return backoff_until_; }
+
+    int successes() const { return std::popcount(window_); }
+    int outcomes() const { return outcomes_; }  ///< in the window
+
+    void record(bool success) {
+        window_ = (window_ << 1 | (success ? 1 : 0)) & ((1u << kOutcomeWindow) - 1);
+        outcomes_ = std::min(outcomes_ + 1, kOutcomeWindow);
+    }
+    /// by_fleet: on the evidence of other sidecars alone.
+    void eject(Millis until, bool by_fleet) {
+        health_ = Health::ejected;
+        backoff_until_ = until;
+        ejected_by_fleet_ = by_fleet;
+    }
+    void set_backoff_until(Millis until) { backoff_until_ = until; }
+    void begin_trial() { health_ = Health::half_open; }
+    /// The trial ended undecided: the next request is another one.
+    void abandon_trial() { health_ = Health::ejected; }
+    /// Available, with an empty window.
+    void reset() {
+        health_ = Health::available;
+        window_ = 0;
+        outcomes_ = 0;
+    }
+
+private:
+    enum class Health { available, ejected, half_open };
+
+    Health health_ = Health::available;
+    std::uint32_t window_ = 0;  // a bit for each of the last outcomes, set for success
+    int outcomes_ = 0;
+    Millis backoff_until_ = 0;
+    bool ejected_by_fleet_ = false;
+};
+
+}  // namespace ochregrade::detail
--- /dev/null
+++ b/src/balancer/endpoint_selector.cpp
@@ -0,0 +1,95 @@
+#include "balancer/endpoint_selector.hpp"
+
+#include <cmath>
+
+namespace ochregrade::detail {
+
+namespace {
+
+// Utilisation (latency ratio) above which the nearest endpoint is no longer preferred: well above an idle
+// pool.
+constexpr double kMaxLocalUtilisation = 0.35;
+// Share of its draw weight that is left to an endpoint that a quorum reports as slow.
+constexpr double kSlowWeight = 0.5;
+
+}  // namespace
+
+Selection EndpointSelector::select(const Request& request) const {
+    Candidates candidates, tried;
+    for (EndpointRecord* endpoint : from_.subset.endpoints()) {
+        const bool trial_due = endpoint->ejection.is_trial_due(from_.context.now);
+        if (!trial_due && !endpoint->ejection.is_available()) continue;
+        if (endpoint->evidence.is_withdrawn() || !may_use(request, *endpoint)) continue;
+        if (trial_due) return {SelectionKind::endpoint, endpoint};
+        (request.tried(endpoint->info.id) ? tried : candidates).push_back(endpoint);
+    }
+    if (candidates.empty()) candidates.swap(tried);
+    if (candidates.empty()) return {};
+    return choose(request, candidates);
+}
+
+// Where crossing zones costs and the pool is not overloaded, one of the two is of our own zone.
+Selection EndpointSelector::choose(const Request& request, const Candidates& candidates) const {
+    const Settings& settings = *request.settings;
+    EndpointRecord* first = draw(candidates, nullptr);
+    const Candidates local = in_local_zone(request, candidates);
+    if (!local.empty()) first = draw(local, nullptr);
+    if (candidates.size() == 1) return {SelectionKind::endpoint, first};
+    EndpointRecord* second = draw(candidates, first);
+    const bool first_is_nearer = !local.empty() && second->info.zone != *settings.local_zone;
+    const double difference = from_.gossip.suspicion(*first) - from_.gossip.suspicion(*second);
+    if (first->in_flight == 0 && second->in_flight == 0 && std::abs(difference) < 1 &&
+        from_.races.is_worthwhile(request))
+        return {SelectionKind::probe_race, first, second};
+    const bool second_is_better = is_second_better(*first, *second, difference, first_is_nearer, settings);
+    return {SelectionKind::endpoint, second_is_better ? second : first};
+}
+
+EndpointSelector::Candidates EndpointSelector::in_local_zone(const Request& request,
+                                                             const Candidates& candidates) const {
+    const Settings& settings = *request.settings;
+    Candidates local;
+    if (!(settings.fees.cross_zone > 0) || !settings.local_zone) return local;
+    if (!(from_.admission.utilisation() <= kMaxLocalUtilisation)) return local;
+    for (EndpointRecord* endpoint : candidates)
+        if (endpoint->info.zone == *settings.local_zone) local.push_back(endpoint);
+    return local;
+}
+
+// The nearer one wins ties, and with one request more where our share of the fee exceeds the chance of a late
+// answer: one more from each of many sidecars is a queue.
+bool EndpointSelector::is_second_better(const EndpointRecord& first, const EndpointRecord& second,
+                                        double suspicion_difference, bool first_is_nearer,
+                                        const Settings& settings) const {
+    const bool fee_is_higher = first_is_nearer && from_.admission.fleet_share() * settings.fees.cross_zone >
+                                                      std::exp(-1 / from_.admission.utilisation());
+    const int allowance = fee_is_higher ? 1 : 0;
+    if (second.in_flight + allowance < first.in_flight) return true;
+    if (second.in_flight != first.in_flight) return false;
+    if (suspicion_difference != 0) return suspicion_difference > 0;
+    return !first_is_nearer && second.latency_ratio < first.latency_ratio;
+}
+
+// Where every queue of ours is empty, the draw alone decides, and equal chances would flood the small
+// endpoints. What is suspected is drawn the more seldom.
+double EndpointSelector::draw_weight(const EndpointRecord& endpoint) const {
+    const double suspicion = from_.gossip.suspicion(endpoint);
+    return endpoint.info.capacity_weight / ((1 + suspicion) * (1 + suspicion)) *
+           (endpoint.evidence.is_reported_slow() ? kSlowWeight : 1);
+}
+
+EndpointRecord* EndpointSelector::draw(const Candidates& candidates, const EndpointRecord* excluded) const {
+    double total = 0;
+    for (const EndpointRecord* endpoint : candidates)
+        total += endpoint == excluded ? 0 : draw_weight(*endpoint);
+    double remaining = from_.context.random.unit() * total;
+    EndpointRecord* drawn = nullptr;
+    for (EndpointRecord* endpoint : candidates) {
+        if (endpoint == excluded || (drawn && !(remaining >= 0))) continue;
+        drawn = endpoint;
+        remaining -= draw_weight(*endpoint);
+    }
+    return drawn;
+}
+
+}  // namespace ochregrade::detail
--- /dev/null
+++ b/src/balancer/endpoint_subset.cpp
@@ -0,0 +1,31 @@
+#include "balancer/endpoint_subset.hpp"
+
+namespace ochregrade::detail {
+
+std::vector<EndpointRecord*> EndpointSubset::endpoints() const {
+    const std::vector<EndpointRecord*>& all = table_.in_service();
+    const Settings& settings = *context_.settings;
+    std::vector<EndpointRecord*> used;
+    double missing = all.empty() ? 0 : size() * table_.in_service_weight() / static_cast<double>(all.size());
+    const std::size_t start =
+        all.size() * (settings.sidecar_index % settings.sidecar_count) / settings.sidecar_count;
+    // Those after the arc make up for what is ejected, and for what a cold endpoint cannot do yet.
+    for (std::size_t i = 0; i < all.size() && missing > 0; ++i) {
+        EndpointRecord* endpoint = used.emplace_back(all[(start + i) % all.size()]);
+        if (!endpoint->ejection.is_available()) continue;
+        const bool cold = slow_start_.is_cold(*endpoint);
+        const double share = cold ? std::min(1.0, slow_start_.admitted_share(*endpoint)) : 1;
+        missing -= endpoint->info.capacity_weight * share;
+    }
+    return used;
+}
+
+double EndpointSubset::reachable_capacity_besides(const EndpointRecord& excluded) const {
+    double capacity = 0;
+    for (const EndpointRecord* endpoint : endpoints())
+        if (endpoint != &excluded && endpoint->reachable && endpoint->ejection.is_available())
+            capacity += endpoint->info.capacity_weight * slow_start_.warm_share(*endpoint);
+    return capacity;
+}
+
+}  // namespace ochregrade::detail
--- /dev/null
+++ b/src/balancer/failure_gossip.cpp
@@ -0,0 +1,39 @@
+#include "balancer/failure_gossip.hpp"
+
+#include "balancer/peer_sampling.hpp"
+
+namespace ochregrade::detail {
+
+namespace {
+
+// One peer in so many gets a report, and at most so many peers: from all sidecars together each peer gets as
+// many, in a fleet of any size.
+constexpr std::uint32_t kSidecarsPerReport = 4;
+constexpr std::uint32_t kMaxReports = 88;
+// An endpoint's id.
+constexpr std::size_t kMessageBytes = 4;
+
+}  // namespace
+
+void FailureGossip::record_failure(EndpointRecord& endpoint) {
+    endpoint.suspicion.add_failure(context_.now);
+    send_report(endpoint.info.id);
+}
+
+void FailureGossip::send_report(EndpointId endpoint) {
+    const Settings& settings = *context_.settings;
+    if (!settings.gossip_allowed || settings.evidence_shared || !subset_.is_traffic_sparse()) return;
+    std::vector<std::uint8_t> bytes;
+    for (int shift = 24; shift >= 0; shift -= 8)
+        bytes.push_back(static_cast<std::uint8_t>(endpoint >> shift));
+    send_to_random_peers(context_, std::min(settings.sidecar_count / kSidecarsPerReport, kMaxReports), bytes);
+}
+
+void FailureGossip::receive(const GossipReceived& message, EndpointTable& table) const {
+    if (message.bytes.size() != kMessageBytes) return;
+    EndpointId id = 0;
+    for (const std::uint8_t byte : message.bytes) id = id << 8 | byte;
+    if (EndpointRecord* endpoint = table.find(id)) endpoint->suspicion.add_failure(context_.now);
+}
+
+}  // namespace ochregrade::detail
--- /dev/null
+++ b/src/balancer/peer_sampling.hpp
@@ -0,0 +1,21 @@
+// Sends a gossip message to peers drawn at random. Source: epidemic dissemination by uniform peer sampling.
+#pragma once
+
+#include <algorithm>
+#include <cstdint>
+#include <vector>
+
+#include "balancer/context.hpp"
+
+namespace ochregrade::detail {
+
+/// count draws among all sidecars; our own index, if drawn, is left out.
+inline void send_to_random_peers(Context& context, std::uint32_t count,
+                                 const std::vector<std::uint8_t>& bytes) {
+    for (std::uint32_t i = 0; i < count; ++i) {
+        const auto peer = static_cast<std::uint32_t>(context.random.below(context.settings->sidecar_count));
+        if (peer != context.settings->sidecar_index) context.act(SendGossip{peer, bytes});
+    }
+}
+
+}  // namespace ochregrade::detail
