--- a/tests/balancer/shared_evidence_test.cpp
+++ b/tests/balancer/shared_evidence_test.cpp
@@ -1,5 +1,7 @@
 // What the module makes of the evidence that sidecars share, and what it shares itself.
-#include "support/balancer_fixture.hpp"
+#include "balancer/shared_evidence.hpp"
+
+#include "module_fixture.hpp"
 
 namespace ochregrade::test {
 namespace {
@@ -47,6 +49,46 @@
     }
 };
 
+// ---- The module alone -----------------------------------------------------------------------------------
+
+struct EvidenceFixture : ModuleFixture {
+    EvidenceFixture() : ModuleFixture(sharing()) { list(kServers); }
+    void receive(EndpointId id, std::uint32_t reporters) {
+        evidence.receive({{{id, /*successes=*/0, /*failures=*/20, reporters, reporters, 0, 0, 0, 0}}});
+    }
+
+    detail::OutlierDetection outliers{context, table};
+    detail::SharedEvidence evidence{context, table, outliers};
+};
+
+TEST(SharedEvidence, AQuorumOfReportsEjects) {
+    EvidenceFixture fixture;
+    fixture.receive(5, detail::kEvidenceQuorum - 1);
+    EXPECT_TRUE(fixture.endpoint(5).ejection.is_available());
+    fixture.receive(5, detail::kEvidenceQuorum);
+    EXPECT_TRUE(fixture.endpoint(5).ejection.is_ejected());
+    EXPECT_TRUE(fixture.endpoint(5).ejection.is_ejected_by_fleet());
+}
+
+TEST(SharedEvidence, OurOwnFailureCountsAsAReport) {
+    EvidenceFixture fixture;
+    fixture.evidence.record_outcome(fixture.endpoint(5), Outcome::server_error);
+    EXPECT_EQ(fixture.actions_of<PublishEvidence>().size(), 1U);
+    fixture.receive(5, detail::kEvidenceQuorum - 1);
+    EXPECT_TRUE(fixture.endpoint(5).ejection.is_ejected());
+}
+
+TEST(SharedEvidence, FailuresArePublishedTwiceASecondAtMost) {
+    EvidenceFixture fixture;
+    for (int i = 0; i < 21; ++i) {
+        fixture.evidence.record_outcome(fixture.endpoint(5), Outcome::server_error);
+        fixture.context.now += 100;
+    }
+    EXPECT_EQ(fixture.actions_of<PublishEvidence>().size(), 5U) << "in 2 s";
+}
+
+// ---- Within the balancer --------------------------------------------------------------------------------
+
 TEST(Shared, AFailureIsSharedWithWhatWentWellOfLate) {
     Sharing rig;
     const EndpointId server = rig.used();
