--- a/src/balancer/settings_validation.cpp
+++ b/src/balancer/settings_validation.cpp
@@ -7,31 +7,34 @@
 
 namespace {
 
-void check(bool sound, const std::string& setting) {
-    if (!sound) throw std::invalid_argument("ochregrade: setting makes no sense: " + setting);
+void check(bool valid, const std::string& setting) {
+    if (!valid) throw std::invalid_argument("ochregrade: setting makes no sense: " + setting);
 }
 void check_amount(double value, const std::string& name) { check(std::isfinite(value) && value >= 0, name); }
 
 }  // namespace
 
-void validate(const Settings& s) {
-    check(!s.classes.empty(), "classes (none given)");
-    for (std::size_t i = 0; i < s.classes.size(); ++i) {
+void validate(const Settings& settings) {
+    check(!settings.classes.empty(), "classes (none given)");
+    for (std::size_t i = 0; i < settings.classes.size(); ++i) {
         const std::string prefix = "classes[" + std::to_string(i) + "].";
-        const RequestClass& c = s.classes[i];
-        check(std::isfinite(c.latency_objective) && c.latency_objective > 0, prefix + "aim");
-        check_amount(c.dedup_window, prefix + "dedup_window");
-        check_amount(c.objective_per_effort, prefix + "aim_stretch");
-        check_amount(c.priority_weight, prefix + "worth");
+        const RequestClass& request_class = settings.classes[i];
+        check(std::isfinite(request_class.latency_objective) && request_class.latency_objective > 0,
+              prefix + "latency_objective");
+        check_amount(request_class.dedup_window, prefix + "dedup_window");
+        check_amount(request_class.objective_per_effort, prefix + "objective_per_effort");
+        check_amount(request_class.priority_weight, prefix + "priority_weight");
     }
-    check(s.sidecar_count >= 1, "siblings");
-    check(s.max_attempts >= 1, "max_attempts");
-    check_amount(s.poll_interval, "ask_within");
-    check_amount(s.slow_start_duration, "warm_within");
-    check(std::isfinite(s.slow_start_overload_factor) && s.slow_start_overload_factor >= 1, "fall_multiple");
-    check(s.slow_start_least_share >= 0 && s.slow_start_least_share <= 1, "cold_from");
-    check_amount(s.fees.cross_zone, "fees.cross_zone");
-    check_amount(s.fees.probe, "fees.probe");
+    check(settings.sidecar_count >= 1, "sidecar_count");
+    check(settings.max_attempts >= 1, "max_attempts");
+    check_amount(settings.poll_interval, "poll_interval");
+    check_amount(settings.slow_start_duration, "slow_start_duration");
+    check(std::isfinite(settings.slow_start_overload_factor) && settings.slow_start_overload_factor >= 1,
+          "slow_start_overload_factor");
+    check(settings.slow_start_least_share >= 0 && settings.slow_start_least_share <= 1,
+          "slow_start_least_share");
+    check_amount(settings.fees.cross_zone, "fees.cross_zone");
+    check_amount(settings.fees.probe, "fees.probe");
 }
 
 }  // namespace ochregrade
