--- a/src/balancer/failure_gossip.cpp
+++ b/src/balancer/failure_gossip.cpp
@@ -20,13 +20,12 @@
 }  // namespace
 
 double FailureGossip::suspicion(const EndpointRecord& endpoint) const {
-    if (!subset_.is_traffic_sparse()) return 0;
     double failures = endpoint.suspicion.at(context_.now);
     const EndpointEvidence& evidence = endpoint.evidence.fleet();
     if (evidence.direct_reporters >= kEvidenceQuorum)  // how many, and how much they saw
         failures = std::min(kMaxSuspicion, failures + evidence.direct_reporters * (evidence.failures + 1.0) /
                                                           (evidence.failures + evidence.successes + 1.0));
-    return failures < kMinSuspicion ? 0 : failures;
+    return failures >= kMinSuspicion && subset_.is_traffic_sparse() ? failures : 0;
 }
 
 void FailureGossip::record_success(EndpointRecord& endpoint) const { endpoint.suspicion.halve(context_.now); }
--- a/src/balancer/suspicion.hpp
+++ b/src/balancer/suspicion.hpp
@@ -15,7 +15,10 @@
 class Suspicion {
 public:
     /// The count at a time, in failures.
-    double at(Millis now) const { return count_ * std::exp((updated_at_ - now) / kEjectionBackoff); }
+    double at(Millis now) const {
+        if (count_ == 0) return 0;  // most endpoints: spares the exponential
+        return count_ * std::exp((updated_at_ - now) / kEjectionBackoff);
+    }
 
     void add_failure(Millis now) { update(now, 1, 1); }
     void halve(Millis now) { update(now, 0.5, 0); }
--- a/tests/support/balancer_fixture.hpp
+++ b/tests/support/balancer_fixture.hpp
@@ -109,6 +109,7 @@
 
     std::vector<RequestId> burst(int count, Millis time_left = 1000, bool repeat = false) {
         std::vector<RequestId> ids;
+        ids.reserve(static_cast<std::size_t>(count));
         for (int i = 0; i < count; ++i) ids.push_back(request(0, time_left, repeat));
         return ids;
     }
