--- a/src/common/endpoint_id.hpp
+++ b/src/common/endpoint_id.hpp
@@ -1,5 +1,5 @@
-// Numbers for names. A server's number is the same at every sidecar, which peers need to understand one
-// another.
+// Numeric ids for the names of endpoints, equal at every sidecar, so that sidecars can refer to an endpoint
+// in messages to each other.
 #pragma once
 
 #include <string_view>
@@ -8,13 +8,15 @@
 
 namespace ochregrade {
 
-// FNV-1a of the name. `taken(id)` tells whether another server has that number already: the next free one is
-// used then, and peers mean another server by it, which costs a tie.
-template <class Taken>
-EndpointId endpoint_id(std::string_view name, Taken taken) {
-    EndpointId id = 2166136261u;
-    for (const char c : name) id = (id ^ static_cast<unsigned char>(c)) * 16777619u;
-    while (taken(id)) ++id;
+/// The 32-bit FNV-1a hash of `name`, or the next free id after it. `is_taken(id)` tells whether another
+/// endpoint has the id; sidecars that resolve such a collision differently disagree about the two endpoints.
+template <class IsTaken>
+EndpointId endpoint_id(std::string_view name, IsTaken is_taken) {
+    constexpr EndpointId kOffsetBasis = 2166136261u;
+    constexpr EndpointId kPrime = 16777619u;
+    EndpointId id = kOffsetBasis;
+    for (const char c : name) id = (id ^ static_cast<unsigned char>(c)) * kPrime;
+    while (is_taken(id)) ++id;
     return id;
 }
 
--- a/src/common/http.hpp
+++ b/src/common/http.hpp
@@ -1,4 +1,4 @@
-// What both sides of the sidecar share of HTTP.
+// HTTP types, limits and parsing that the client side and the upstream side of the sidecar share.
 #pragma once
 
 #include <sys/socket.h>
@@ -22,15 +22,17 @@
 using HttpResponse = http::response<http::string_body>;
 using RequestPtr = std::shared_ptr<HttpRequest>;
 
+// Bounds of a message, bytes; the protocol gives them for requests and responses alike.
 constexpr std::uint32_t kMaxHeader = 16 * 1024;
 constexpr std::uint64_t kMaxBody = 64 * 1024;
 
-// Headers that speak of one connection only, and those that Connection names, stay on it.
+/// Removes the hop-by-hop fields (RFC 9110, 7.6.1): the standard ones and those that Connection names.
 template <class Fields>
 void strip_hop_by_hop(Fields& fields) {
     std::vector<std::string> names;
     for (const auto& name : http::token_list(fields[http::field::connection])) names.emplace_back(name);
-    for (const auto& name : names)  // but never what tells a server that it has seen a request before
+    // Never the fields by which a server recognises a request that it has seen before.
+    for (const auto& name : names)
         if (!beast::iequals(name, "Idempotency-Key") && !beast::iequals(name, "X-Correlation-Id"))
             fields.erase(name);
     for (const char* name : {"Connection", "Keep-Alive", "Proxy-Connection", "TE", "Trailer",
@@ -38,32 +40,36 @@
         fields.erase(name);
 }
 
-// Hands what has come to a parser that is not eager; need_more if that is used up. The limit on heads is kept
-// here: the parser takes whole lines as they come and holds its own limit against what is left of them, so
-// that a head that never ends, sent by whole lines, would be kept without bound.
+/// Passes the buffered bytes to a parser that is not eager; need_more if they are used up. `head_bytes`
+/// counts the bytes of the message's head so far. The limit on heads is enforced here: the parser consumes
+/// whole lines and compares its own limit with what remains, so that an endless head sent by whole lines
+/// would be kept without bound.
 template <class Parser>
-error_code feed(Parser& parser, beast::flat_buffer& in, std::size_t& head_bytes) {
+error_code parse_buffered(Parser& parser, beast::flat_buffer& in, std::size_t& head_bytes) {
     error_code ec = http::error::need_more;
     if (in.size() == 0) return ec;
-    const bool head = !parser.is_header_done();
+    const bool in_head = !parser.is_header_done();
     const std::size_t used = parser.put(in.data(), ec);
     in.consume(used);
-    if (head) head_bytes += used;
-    const bool endless = ec == http::error::need_more && in.size() + (head ? head_bytes : 0) >= kMaxHeader;
-    if (endless || head_bytes > kMaxHeader) return http::error::header_limit;
+    if (in_head) head_bytes += used;
+    const bool unbounded =
+        ec == http::error::need_more && in.size() + (in_head ? head_bytes : 0) >= kMaxHeader;
+    if (unbounded || head_bytes > kMaxHeader) return http::error::header_limit;
     return ec;
 }
 
-// What a look at a quiet connection shows without taking anything from it.
-enum class Quiet { nothing, bytes, ended };
-inline Quiet peek(tcp::socket& socket) {
-    char byte;
-    ssize_t n;
-    do n = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    while (n < 0 && errno == EINTR);
-    if (n > 0) return Quiet::bytes;
+/// What the kernel holds for a socket: no bytes, unread bytes, or the end of the connection.
+enum class SocketState { quiet, readable, ended };
+/// The socket's state, without consuming anything or blocking.
+inline SocketState peek(tcp::socket& socket) {
+    char byte = 0;
+    ssize_t received = 0;
+    do received = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+    while (received < 0 && errno == EINTR);
+    if (received > 0) return SocketState::readable;
     const bool no_memory = errno == ENOBUFS || errno == ENOMEM;
-    return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || no_memory) ? Quiet::nothing : Quiet::ended;
+    const bool no_bytes = errno == EAGAIN || errno == EWOULDBLOCK || no_memory;
+    return received < 0 && no_bytes ? SocketState::quiet : SocketState::ended;
 }
 
 }  // namespace ochregrade::sidecar
--- a/src/common/open_with_retry.hpp
+++ b/src/common/open_with_retry.hpp
@@ -1,9 +1,10 @@
-// Opening sockets at the start of the process, where the system may be short of descriptors or buffers for a
-// moment, or the process before this one may not have let go of an address yet.
+// Opening sockets at startup, where the system may be short of descriptors or buffers for a moment, or an
+// earlier process may not have released an address yet.
 #pragma once
 
 #include <chrono>
 #include <sstream>
+#include <string>
 #include <thread>
 
 #include "common/http.hpp"
@@ -12,43 +13,44 @@
 
 namespace ochregrade::sidecar {
 
-// A start is ready within 6 s where it can be; waiting longer would only hide the fault.
-constexpr std::chrono::seconds kStartPatience{4};
-constexpr std::chrono::milliseconds kStartRetry{20};
+// The process is expected to be ready within 6 s; retrying for longer would only hide the error.
+constexpr std::chrono::seconds kOpenRetryTimeout{4};
+constexpr std::chrono::milliseconds kOpenRetryInterval{20};
 
-// Errors of this machine, and of no address or peer.
+/// Whether the error is a shortage of resources on this machine, and not one of an address or a peer.
 inline bool is_shortage(error_code ec) {
     return ec == asio::error::no_descriptors || ec == asio::error::no_buffer_space ||
            ec == asio::error::no_memory || ec == error_code(ENFILE, boost::system::system_category());
 }
 
-// Calls `open` until it meets neither a shortage nor an address in use, at the longest for kStartPatience.
-// Blocks: for use before the loop runs. Throws what `open` threw last.
+/// Calls `open` until it meets neither a shortage nor an address in use, for kOpenRetryTimeout at most, and
+/// returns its result. Throws what `open` threw last. Blocks: for use before the event loop runs.
 template <class Open>
 auto open_with_retry(Open open) {
-    const auto give_up = std::chrono::steady_clock::now() + kStartPatience;
-    for (bool said = false;; said = true) {
+    const auto retry_until = std::chrono::steady_clock::now() + kOpenRetryTimeout;
+    for (bool logged = false;; logged = true) {
         try {
             return open();
         } catch (const boost::system::system_error& error) {
-            const bool may_pass = is_shortage(error.code()) || error.code() == asio::error::address_in_use;
-            if (!may_pass || std::chrono::steady_clock::now() >= give_up) throw;
-            if (!said) log_line(std::string("the start waits: ") + error.what());
+            const bool is_transient =
+                is_shortage(error.code()) || error.code() == asio::error::address_in_use;
+            if (!is_transient || std::chrono::steady_clock::now() >= retry_until) throw;
+            if (!logged) log_line(std::string("startup: retrying to open a socket: ") + error.what());
         }
-        std::this_thread::sleep_for(kStartRetry);
+        std::this_thread::sleep_for(kOpenRetryInterval);
     }
 }
 
-// The same for a socket that listens on `at`, which the configuration's `field` names. Throws ConfigError
-// where another process has the address.
+/// open_with_retry() for a socket that listens on `address`, which the configuration's `field` gives. Throws
+/// ConfigError if another process has the address.
 template <class Endpoint, class Open>
-auto listen_with_retry(const char* field, const Endpoint& at, Open open) {
+auto listen_with_retry(const char* field, const Endpoint& address, Open open) {
     try {
         return open_with_retry(std::move(open));
     } catch (const boost::system::system_error& error) {
         if (error.code() != asio::error::address_in_use) throw;
         std::ostringstream text;
-        text << at << " is taken by another process";
+        text << address << " is taken by another process";
         throw ConfigError(field, text.str());
     }
 }
--- a/src/common/random.hpp
+++ b/src/common/random.hpp
@@ -1,4 +1,5 @@
-// SplitMix64: the same numbers with every standard library, so that a seed and events give the same actions.
+// SplitMix64 (Steele, Lea, Flood: Fast Splittable Pseudorandom Number Generators, OOPSLA 2014). Gives the
+// same numbers with every standard library, so that a seed and a sequence of events determine all actions.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +10,9 @@
 class Random {
 public:
     explicit Random(std::uint64_t seed) : state_(seed) {}
-    double unit() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }  // in [0, 1)
+    /// Uniform in [0, 1).
+    double unit() { return static_cast<double>(next() >> 11) * 0x1.0p-53; }
+    /// Uniform in [0, n).
     std::size_t below(std::size_t n) { return static_cast<std::size_t>(unit() * static_cast<double>(n)); }
 
 private:
--- a/src/common/socket_io.hpp
+++ b/src/common/socket_io.hpp
@@ -1,7 +1,7 @@
-// Calls on stream sockets as Linux documents them: any of them may be interrupted (EINTR), take only a part
-// though there is room for more, or lack memory for a moment. Asio takes a short write for a full buffer and
-// waits for an edge that then does not come, and leaves EINTR of its non-blocking calls to the caller; so
-// writes go through here.
+// Reads and writes of stream sockets as Linux documents them: any call may be interrupted (EINTR), transfer
+// only a part although more is possible, or lack memory for a moment. Asio takes a short write for a full
+// buffer and waits for an edge-triggered event that then does not come, and leaves EINTR of its non-blocking
+// calls to the caller; so reads and writes go through these functions.
 #pragma once
 
 #include <sys/socket.h>
@@ -13,7 +13,7 @@
 
 namespace ochregrade::sidecar {
 
-// No error and fewer bytes than asked for: no more for now.
+/// The result of one transfer. Fewer bytes than requested and no error: no more is possible now.
 struct Transfer {
     std::size_t bytes = 0;
     error_code error{};
@@ -28,15 +28,15 @@
 
 }  // namespace detail
 
-// As much as the kernel takes now.
+/// Writes as much as the kernel takes now.
 inline Transfer write_available(tcp::socket& socket, asio::const_buffer bytes) {
     Transfer done;
     while (bytes.size() > 0) {
-        const ssize_t n =
+        const ssize_t sent =
             ::send(socket.native_handle(), bytes.data(), bytes.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
-        if (n >= 0) {
-            done.bytes += static_cast<std::size_t>(n);
-            bytes += static_cast<std::size_t>(n);
+        if (sent >= 0) {
+            done.bytes += static_cast<std::size_t>(sent);
+            bytes += static_cast<std::size_t>(sent);
         } else if (errno != EINTR) {
             if (!detail::would_block(errno)) done.error = detail::system_error(errno);
             break;
@@ -45,19 +45,19 @@
     return done;
 }
 
-// What one call gives; the other side's end is asio::error::eof.
+/// Reads what one call returns; asio::error::eof if the peer has ended the connection.
 inline Transfer read_available(tcp::socket& socket, asio::mutable_buffer bytes) {
     for (;;) {
-        const ssize_t n = ::recv(socket.native_handle(), bytes.data(), bytes.size(), MSG_DONTWAIT);
-        if (n > 0) return {static_cast<std::size_t>(n)};
-        if (n == 0) return {0, asio::error::eof};
+        const ssize_t received = ::recv(socket.native_handle(), bytes.data(), bytes.size(), MSG_DONTWAIT);
+        if (received > 0) return {static_cast<std::size_t>(received)};
+        if (received == 0) return {0, asio::error::eof};
         if (errno == EINTR) continue;
         return {0, detail::would_block(errno) ? error_code() : detail::system_error(errno)};
     }
 }
 
-// Writes all of `bytes`, which must live as long as `done` does, and calls done(error) from the loop. Waiting
-// anew asks the kernel for its state anew, so that no edge is missed.
+/// Writes all of `bytes`, which must live as long as `done` does, and calls done(error) from the event loop.
+/// Each wait queries the kernel's state again, so that no edge is missed.
 template <class Done>
 void async_write_all(tcp::socket& socket, asio::const_buffer bytes, Done done) {
     const Transfer transfer = write_available(socket, bytes);
@@ -74,14 +74,14 @@
                       });
 }
 
-// The text of a message on the wire.
+/// The message as it is sent on the wire.
 template <bool is_request>
 std::string text_of_message(http::message<is_request, http::string_body>& message) {
     std::string text;
     http::serializer<is_request, http::string_body> serializer(message);
-    error_code wrong;
-    while (!wrong && !serializer.is_done())
-        serializer.next(wrong, [&](error_code&, const auto& buffers) {
+    error_code ec;
+    while (!ec && !serializer.is_done())
+        serializer.next(ec, [&](error_code&, const auto& buffers) {
             for (auto at = asio::buffer_sequence_begin(buffers); at != asio::buffer_sequence_end(buffers);
                  ++at) {
                 const asio::const_buffer part = *at;
--- a/src/common/trace.cpp
+++ b/src/common/trace.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr std::size_t kMostBytes = 64 << 20;  // the file may lie in a folder that counts as memory
+constexpr std::size_t kMaxTraceBytes = 64 << 20;  // the file may be on a memory file system
 
 template <class Clock>
 double milliseconds() {
@@ -32,14 +32,14 @@
             file_->set_pattern("%v");
             file_->flush_on(spdlog::level::trace);
         } catch (const spdlog::spdlog_ex& error) {
-            log_line(std::string("no trace: ") + error.what());
+            log_line(std::string("trace disabled: ") + error.what());
         }
     }
-    bool open() const { return file_ && written_ < kMostBytes; }
+    bool open() const { return file_ && written_ < kMaxTraceBytes; }
     void write(const std::string& line) {
         written_ += line.size() + 1;
         file_->info(line);
-        if (!open()) log_line("the trace is full and ends here");
+        if (!open()) log_line("trace stopped: the file has reached its size limit");
     }
 
 private:
--- a/src/common/trace.hpp
+++ b/src/common/trace.hpp
@@ -1,5 +1,6 @@
-// A trace of every state change of a request and a connection, one JSON object a line, for finding out
-// afterwards what happened to a request id. Off unless OCHREGRADE_TRACE names a file; bounded in size.
+// A trace of each state change of requests and connections, one JSON object a line, for finding out
+// afterwards what happened to a request (docs/OBSERVABILITY.md). Off unless OCHREGRADE_TRACE names a file;
+// ends at 64 MiB.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,10 +10,10 @@
 
 namespace ochregrade::sidecar {
 
-// Whether events are wanted: callers ask before they build one.
+/// Whether events are recorded; callers check before they build one.
 bool tracing();
 
-// {"t":<Unix ms>,"mono":<monotonic ms>,"event":"...", fields...}
+/// Appends {"t":<Unix ms>,"mono":<monotonic ms>,"event":"...", fields...}.
 void trace_event(std::string_view event,
                  const std::vector<std::pair<std::string_view, nlohmann::json>>& fields);
 
--- a/src/proxy/balancer_driver.cpp
+++ b/src/proxy/balancer_driver.cpp
@@ -1,41 +1,52 @@
+// What happens to requests, attempts and endpoints, as events for the balancer. The execution of its actions
+// is in balancer_driver_actions.cpp.
 #include "proxy/balancer_driver.hpp"
 
 #include <algorithm>
-#include <cmath>
-#include <cstdio>
-#include <limits>
-
-#include "common/endpoint_id.hpp"
-#include "common/log.hpp"
-#include "discovery/discovery_client.hpp"
-#include "fleet/gossip_transport.hpp"
-#include "fleet/replication_driver.hpp"
+#include <cstdlib>
 
 namespace ochregrade::sidecar {
 
-std::string_view to_string(EndReason reason) {
-    constexpr std::array<std::string_view, static_cast<std::size_t>(EndReason::count)> kNames = {
-        "deadline", "no_capacity", "attempts_used", "retry_budget", "requests_behind"};
-    return kNames.at(static_cast<std::size_t>(reason));
+namespace {
+
+// A 4xx of an endpoint concerns the request itself: every endpoint would answer the same, so it is forwarded
+// and counts neither for nor against the endpoint. 408 (timeout) and 429, which would tell the client that
+// the request never ran, are treated as failures of the attempt.
+bool is_request_error(unsigned status) {
+    return status >= 400 && status < 500 && status != 408 && status != 429;
 }
 
-std::string_view to_string(Outcome outcome) {
-    constexpr std::array<std::string_view, kOutcomeCount> kNames = {
-        "ok", "error", "overloaded", "timeout", "no_connect", "reset_in_flight", "cancelled", "not_sent"};
-    return kNames.at(static_cast<std::size_t>(outcome));
+// What the request's headers say, for the balancer.
+RequestArrived arrival_event(RequestId id, const HttpRequest& message, Millis time_left,
+                             const ConfigSnapshot& snapshot) {
+    RequestArrived event;
+    event.id = id;
+    event.time_left = time_left;
+    event.client_retry = message["X-Repeat"] == "1";
+    const auto hint = message["X-Weight-Hint"];
+    if (!hint.empty()) event.effort = std::max(0.0, std::atof(std::string(hint).c_str()) / 1000);
+    const auto class_name = message["X-Service-Class"];
+    event.class_index =
+        static_cast<std::uint32_t>(snapshot.config.class_index({class_name.data(), class_name.size()}));
+    event.settings = snapshot.settings;
+    return event;
 }
 
-ZoneId Zones::number(const std::string& name) {
-    const auto next = static_cast<ZoneId>(numbers_.size());
-    if (numbers_.size() >= kMost && numbers_.count(name) == 0) return next;
-    return numbers_.try_emplace(name, next).first->second;
+RequestFacts initial_facts(const RequestArrived& event, const Settings& settings, Millis now) {
+    RequestFacts facts;
+    if (event.class_index < settings.classes.size()) facts.kind = settings.classes[event.class_index];
+    facts.deadline = now + event.time_left;
+    facts.max_attempts = settings.max_attempts;
+    facts.hedging_allowed = settings.hedging_allowed;
+    return facts;
 }
 
+}  // namespace
+
 BalancerDriver::BalancerDriver(asio::io_context& io, const Clock& clock, Zones& zones,
                                ConfigSnapshotPtr snapshot, UpstreamPool::Limits limits)
     : io_(io),
       clock_(clock),
-      zones_(zones),
       snapshot_(std::move(snapshot)),
       balancer_(*snapshot_->settings, snapshot_->config.seed),
       upstream_(
@@ -44,444 +55,289 @@
                attempt_ended(key, outcome, response);
            },
            [this](EndpointId id, Outcome outcome, Millis duration) { probe_ended(id, outcome, duration); },
-           [this](AttemptKey key, bool begun) { return may_write(key, begun); }}),
-      timer_(io) {}
+           [this](AttemptKey key, bool partly_written) { return may_write(key, partly_written); }}),
+      timer_(io),
+      endpoints_(clock, zones) {}
 
 BalancerDriver::~BalancerDriver() = default;
 
-void BalancerDriver::connect_to(DiscoveryClient& discovery, GossipTransport* peers) {
-    discovery_ = &discovery, peers_ = peers;
+void BalancerDriver::connect_to(DiscoveryClient& discovery, GossipTransport* gossip) {
+    discovery_ = &discovery;
+    gossip_ = gossip;
 }
 
 void BalancerDriver::start() {
-    push(Started{});
+    enqueue(Started{});
     if (snapshot_->config.known_endpoints) endpoints_received(*snapshot_->config.known_endpoints, true);
 }
 
 void BalancerDriver::apply(ConfigSnapshotPtr snapshot, UpstreamPool::Limits limits) {
-    pump();
+    handle_events();
     snapshot_ = std::move(snapshot);
     upstream_.set_limits(limits);
-    push(SettingsChanged{snapshot_->settings});
-    pump();
+    enqueue(SettingsChanged{snapshot_->settings});
+    handle_events();
 }
 
 BalancerDriver::Usage BalancerDriver::usage() const {
-    const Balancer::Usage module = balancer_.usage();
-    return {requests_.size() + module.requests,
+    const Balancer::Usage balancer = balancer_.usage();
+    return {requests_.size() + balancer.requests,
             upstream_.in_flight(),
-            servers_.size(),
-            module.endpoints,
+            endpoints_.size(),
+            balancer.endpoints,
             upstream_.pools(),
             upstream_.open(),
-            module.ejected};
+            balancer.ejected};
 }
 
-// ---- Events
-// -------------------------------------------------------------------------------------------------
+// ---- Event queue
 
-void BalancerDriver::push(Event event) {
+void BalancerDriver::enqueue(Event event) {
     events_.push_back(std::move(event));
-    if (pump_posted_) return;
-    pump_posted_ = true;
-    asio::post(io_, [this] { pump(); });
+    if (handling_posted_) return;
+    handling_posted_ = true;
+    asio::post(io_, [this] { handle_events(); });
 }
 
-void BalancerDriver::pump() {
-    pump_posted_ = false;
+void BalancerDriver::handle_events() {
+    handling_posted_ = false;
     while (!events_.empty()) {
         const Event event = std::move(events_.front());
         events_.pop_front();
         actions_.clear();
         balancer_.handle(clock_.now(), event, actions_);
-        for (const Action& action : actions_) std::visit([this](const auto& a) { carry_out(a); }, action);
-        if (const auto* ended = std::get_if<AttemptEnded>(&event)) drop_request(ended->id);
+        for (const Action& action : actions_)
+            std::visit([this](const auto& typed_action) { execute(typed_action); }, action);
+        if (const auto* ended = std::get_if<AttemptEnded>(&event)) remove_request_if_done(ended->id);
     }
-    arm();
+    start_timer();
 }
 
+// ---- Timers
+
+void BalancerDriver::start_timer() {
+    if (timers_.empty()) return;
+    const Millis next = timers_.first_due();
+    if (timer_set_for_ == next) return;
+    timer_set_for_ = next;
+    timer_.expires_at(clock_.point(next));
+    timer_.async_wait([this](error_code ec) {
+        if (!ec) on_timer();
+    });
+}
+
+void BalancerDriver::on_timer() {
+    timer_set_for_ = 0;
+    const Millis now = clock_.now();
+    while (!timers_.empty() && timers_.first_due() <= now) {
+        const TimerQueue::Timer timer = timers_.pop();
+        if (timer.attempt)
+            upstream_.expire(*timer.attempt);
+        else
+            enqueue(TimerFired{timer.token});
+    }
+    start_timer();
+}
+
+// ---- Requests
+
 RequestId BalancerDriver::request_arrived(RequestPtr message, Millis time_left, std::weak_ptr<Client> client,
                                           ConfigSnapshotPtr snapshot) {
-    const RequestId id = next_request_++;
+    const RequestId id = next_request_id_++;
     ++totals_.arrived;
-    RequestArrived event;
-    event.id = id;
-    event.time_left = time_left;
-    event.client_retry = (*message)["X-Repeat"] == "1";
-    const auto hint = (*message)["X-Weight-Hint"];
-    if (!hint.empty()) event.effort = std::max(0.0, std::atof(std::string(hint).c_str()) / 1000);
-    const auto name = (*message)["X-Service-Class"];
-    event.class_index = static_cast<std::uint32_t>(snapshot->config.class_index({name.data(), name.size()}));
-    event.settings = snapshot->settings;
-    Request& request = requests_[id];
-    const Settings& settings = *snapshot->settings;
-    if (event.class_index < settings.classes.size()) request.facts.kind = settings.classes[event.class_index];
-    request.facts.deadline = clock_.now() + time_left;
-    request.facts.max_attempts = settings.max_attempts;
-    request.facts.hedging_allowed = settings.hedging_allowed;
+    const RequestArrived event = arrival_event(id, *message, time_left, *snapshot);
+    PendingRequest& request = requests_[id];
+    request.facts = initial_facts(event, *snapshot->settings, clock_.now());
     request.correlation_id = std::string((*message)["X-Correlation-Id"]);
     request.message = std::move(message);
     request.client = std::move(client);
     request.snapshot = std::move(snapshot);
     ++pending_requests_;
     if (tracing()) trace("arrived", request, {{"time_left_ms", time_left}});
-    push(event);
+    enqueue(event);
     return id;
 }
 
 void BalancerDriver::client_disconnected(RequestId id) {
-    const auto at = requests_.find(id);
-    if (at == requests_.end() || at->second.ended) return;
-    at->second.ended = true;
-    at->second.facts.client_disconnected = true;
-    if (tracing()) trace("client_left", at->second, {});
+    PendingRequest* request = find_request(id);
+    if (!request || request->ended) return;
+    request->ended = true;
+    request->facts.client_disconnected = true;
+    if (tracing()) trace("client_left", *request, {});
     --pending_requests_;
     ++totals_.client_disconnects;
     upstream_.withdraw_request(id);
-    push(ClientDisconnected{id});
-    drop_request(id);
+    enqueue(ClientDisconnected{id});
+    remove_request_if_done(id);
 }
 
-// To the module this is as if the client had left: it owes nothing more, and withdraws what is out.
+// To the balancer this is as if the client had disconnected: it owes no answer and withdraws what is in
+// flight.
 void BalancerDriver::fail_for_pipelined(RequestId id) {
-    const auto at = requests_.find(id);
-    if (at == requests_.end() || at->second.ended) return;
+    PendingRequest* request = find_request(id);
+    if (!request || request->ended) return;
     ++totals_.failures[static_cast<std::size_t>(EndReason::pipelined_requests)];
-    if (tracing()) trace("failed", at->second, {{"reason", to_string(EndReason::pipelined_requests)}});
-    answer(id, at->second, HttpResponse(http::status::bad_gateway, 11), totals_.failed);
-    push(ClientDisconnected{id});
-    drop_request(id);
+    if (tracing()) trace("failed", *request, {{"reason", to_string(EndReason::pipelined_requests)}});
+    answer(id, *request, HttpResponse(http::status::bad_gateway, 11), totals_.failed);
+    enqueue(ClientDisconnected{id});
+    remove_request_if_done(id);
 }
 
-EndpointFacts BalancerDriver::facts_of(EndpointId id) const {
-    const auto at = servers_.find(id);
-    if (at == servers_.end()) return {};
-    const Server& server = at->second;
-    return {server.listed && server.phase == EndpointState::serving, zones_.number(server.zone), server.cell};
-}
-
-// Between the decision and the write the client may have left or the server may have been listed as draining.
-// That a client has left is in the kernel before anybody here has read it, so its connection is looked at.
-// What has begun at a server that drains may be finished there.
-bool BalancerDriver::may_write(AttemptKey key, bool begun) {
-    auto at = requests_.find(key.id);
-    if (at == requests_.end()) return false;
-    if (!at->second.ended)
-        if (const auto client = at->second.client.lock()) client->check_disconnected();
-    at = requests_.find(key.id);  // it may have gone with its client
-    if (at == requests_.end()) return false;
-    Request& request = at->second;
-    EndpointFacts server = facts_of(request.facts.attempts[key.attempt].endpoint);
-    server.serving |= begun;
-    const auto withheld = rule_guard_.check_send(request.facts, key.attempt, server, clock_.now());
-    if (withheld && tracing())
-        trace("withheld", request, {{"attempt", key.attempt}, {"reason", to_string(*withheld)}});
-    return !withheld;
-}
-
-void BalancerDriver::endpoints_received(const EndpointList& list, bool saved) {
-    EndpointUpdate event{saved           ? EndpointUpdateKind::cached
-                         : list.complete ? EndpointUpdateKind::full
-                                         : EndpointUpdateKind::incremental,
-                         {}};
-    std::vector<EndpointId> moved;
-    start_times_.observe(clock_.wall_error());
-    if (list.complete)
-        for (auto& [id, s] : servers_) s.listed = false;
-    for (const ListedEndpoint& host : list.endpoints) {
-        const EndpointId id = server(host.name);
-        Server& s = servers_[id];
-        // Another process, or another address: what is open leads nowhere, and what is still connecting to
-        // somebody who is not meant: another server may have that address by now.
-        if (s.born != host.started_at || s.dial != host.address) moved.push_back(id);
-        if (s.born != host.started_at) s.started = start_times_.start_of(host.started_at, clock_.now());
-        s.born = host.started_at;
-        s.zone = host.zone, s.cell = host.cell, s.units = host.capacity_weight;
-        s.phase = host.state;
-        s.listed = host.state != EndpointState::gone;
-        if (s.listed) s.dial = host.address;
-        event.endpoints.push_back(
-            {id, zones_.number(host.zone), host.cell, host.state, s.started, host.capacity_weight});
-    }
-    has_endpoints_ = true;
-    // Nothing that is still connecting goes to a server that drains or is gone: told is told from here on.
-    std::vector<EndpointId> closed;
-    for (const auto& [id, s] : servers_)
-        if (!s.listed || s.phase != EndpointState::serving) closed.push_back(id);
-    // The list first: what is withdrawn by it is placed anew by it, and not once more where it may not go.
-    push(std::move(event));
-    for (const EndpointId id : moved) upstream_.withdraw_endpoint(id);
-    for (const EndpointId id : closed) upstream_.withdraw_endpoint(id);
-    for (const EndpointId id : closed) drop_server(id);
-}
-
-EndpointList BalancerDriver::endpoints() const {
-    EndpointList list;
-    list.complete = true;
-    for (const auto& [id, s] : servers_)
-        if (s.listed) list.endpoints.push_back({s.name, s.dial, s.zone, s.cell, s.phase, s.born, s.units});
-    return list;
-}
-
-std::vector<NamedEndpointSnapshot> BalancerDriver::endpoint_snapshots() const {
-    std::vector<NamedEndpointSnapshot> all;
-    for (const EndpointSnapshot& l : balancer_.snapshot())
-        if (const auto s = servers_.find(l.endpoint); s != servers_.end())
-            all.push_back({s->second.name, s->second.born, l.ejected_for, l.latency_ratio});
-    return all;
+void BalancerDriver::answer(RequestId id, PendingRequest& request, HttpResponse response,
+                            std::uint64_t& total) {
+    if (request.ended) return;
+    request.ended = true;
+    request.facts.answered = true;
+    rule_guard_.check_answer(request.facts.deadline, clock_.now());
+    --pending_requests_;
+    ++total;
+    if (tracing()) trace("answered", request, {{"status", response.result_int()}});
+    // An endpoint's answer about the request itself says nothing about the configuration.
+    if (on_final_answer && &total != &totals_.forwarded_errors)
+        on_final_answer(request.snapshot->version, &total == &totals_.served);
+    if (const auto client = request.client.lock()) client->answer(std::move(response));
+    upstream_.withdraw_request(id);
 }
 
-void BalancerDriver::restore(const std::vector<NamedEndpointSnapshot>& learnt) {
-    StateRestored event;
-    for (const NamedEndpointSnapshot& l : learnt) {
-        const auto id = server_ids_.find(l.name);
-        // Another process under the same name has its own record to make.
-        if (id == server_ids_.end() || servers_.at(id->second).born != l.started_at) continue;
-        event.endpoints.push_back({id->second, l.ejected_for, l.latency_ratio});
-    }
-    push(std::move(event));
+PendingRequest* BalancerDriver::find_request(RequestId id) {
+    const auto at = requests_.find(id);
+    return at == requests_.end() ? nullptr : &at->second;
 }
 
-replication::EndpointKey BalancerDriver::endpoint_key_of(const ListedEndpoint& host) {
-    const auto known = server_ids_.find(host.name);
-    const EndpointId id =
-        known != server_ids_.end() ? known->second : endpoint_id(host.name, [](EndpointId) { return false; });
-    return endpoint_key(id, host.started_at);
+void BalancerDriver::remove_request_if_done(RequestId id) {
+    const auto at = requests_.find(id);
+    if (at != requests_.end() && at->second.ended && at->second.in_flight == 0) requests_.erase(at);
 }
 
-void BalancerDriver::evidence_received(const std::vector<replication::EndpointTotals>& evidence) {
-    std::unordered_map<replication::EndpointKey, EndpointId> by_key;
-    for (const auto& [id, s] : servers_)
-        if (s.listed) by_key.emplace(endpoint_key(id, s.born), id);
-    FleetEvidence event;
-    for (const replication::EndpointTotals& e : evidence)
-        if (const auto id = by_key.find(e.endpoint); id != by_key.end())
-            event.endpoints.push_back({id->second, e.successes, e.failures, e.reporters, e.direct_reporters,
-                                       e.withdrawals, e.recoveries, e.latency_reporters, e.latency_ratio});
-    push(std::move(event));
+void BalancerDriver::trace(std::string_view event, const PendingRequest& request,
+                           std::initializer_list<std::pair<std::string_view, nlohmann::json>> details) const {
+    std::vector<std::pair<std::string_view, nlohmann::json>> fields(details);
+    fields.emplace_back("id", request.correlation_id);
+    trace_event(event, fields);
 }
 
-void BalancerDriver::endpoints_failed() { push(EndpointUpdate{EndpointUpdateKind::failed, {}}); }
-
-void BalancerDriver::gossip_received(std::uint32_t from, std::vector<std::uint8_t> bytes) {
-    push(GossipReceived{from, std::move(bytes)});
+// ---- Attempts and probes
+
+// Between the decision and the write the client may have left, or the endpoint may have been listed as
+// draining. That a client has left is known to the kernel before it is read here, so its connection is
+// checked. An attempt that is partly written may be completed at a draining endpoint.
+bool BalancerDriver::may_write(AttemptKey key, bool partly_written) {
+    PendingRequest* request = find_request(key.id);
+    if (!request) return false;
+    if (!request->ended)
+        if (const auto client = request->client.lock()) client->check_disconnected();
+    request = find_request(key.id);  // it may have been removed because its client has left
+    if (!request) return false;
+    EndpointFacts endpoint = endpoints_.facts(request->facts.attempts[key.attempt].endpoint);
+    endpoint.serving |= partly_written;
+    const auto withheld = rule_guard_.check_send(request->facts, key.attempt, endpoint, clock_.now());
+    if (withheld && tracing())
+        trace("withheld", *request, {{"attempt", key.attempt}, {"reason", to_string(*withheld)}});
+    return !withheld;
 }
 
 void BalancerDriver::attempt_ended(AttemptKey key, Outcome outcome, HttpResponse* response) {
-    const auto at = requests_.find(key.id);
-    if (at == requests_.end()) return;
-    Request& request = at->second;
-    --request.out;
-    AttemptFacts& attempt = request.facts.attempts[key.attempt];
-    const EndpointId server_id = attempt.endpoint;
+    PendingRequest* request = find_request(key.id);
+    if (!request) return;
+    --request->in_flight;
+    AttemptFacts& attempt = request->facts.attempts[key.attempt];
+    const EndpointId endpoint = attempt.endpoint;
     AttemptEnded event{key.id, key.attempt, outcome, clock_.now() - attempt.sent_at, false};
-    // A 4xx speaks of the request, not of the server: another would say the same. It is passed on as it is,
-    // and as withdrawn it counts neither for the server nor against it. 429 would tell the client that it
-    // never ran.
-    const unsigned status = response ? response->result_int() : 0;
-    const bool unfit = status >= 400 && status < 500 && status != 408 && status != 429;
-    if (unfit) event.outcome = Outcome::cancelled;
-    if ((outcome == Outcome::success || unfit) && !request.ended && response) {
-        strip_hop_by_hop(*response);
-        response->erase("X-Backend-Load");
-        answer(key.id, request, std::move(*response), unfit ? totals_.forwarded_errors : totals_.served);
-    }
+    const bool request_error = response && is_request_error(response->result_int());
+    if (request_error) event.outcome = Outcome::cancelled;
+    if ((outcome == Outcome::success || request_error) && !request->ended && response)
+        forward_response(key.id, *request, *response, request_error);
     attempt.in_flight = false;
     attempt.may_have_run = !proves_never_ran(event.outcome);
-    request.last_outcome = event.outcome;
+    request->last_outcome = event.outcome;
     if (tracing())
-        trace("attempt_ended", request,
+        trace("attempt_ended", *request,
               {{"attempt", key.attempt}, {"outcome", to_string(event.outcome)}, {"ms", event.duration}});
-    event.request_ended = request.ended;
-    push(event);
-    if (const auto s = servers_.find(server_id); s != servers_.end()) --s->second.out;
-    drop_server(server_id);
-}
-
-void BalancerDriver::probe_ended(EndpointId id, Outcome outcome, Millis duration) {
-    push(ProbeEnded{id, outcome, duration});
-    if (const auto s = servers_.find(id); s != servers_.end()) --s->second.out;
-    drop_server(id);
-}
-
-// ---- Timers
-// -------------------------------------------------------------------------------------------------
-
-void BalancerDriver::arm() {
-    if (due_.empty()) return;
-    const Millis next = due_.top().at;
-    if (armed_for_ == next) return;
-    armed_for_ = next;
-    timer_.expires_at(clock_.point(next));
-    timer_.async_wait([this](error_code ec) {
-        if (!ec) fire();
-    });
+    event.request_ended = request->ended;
+    enqueue(event);
+    release_endpoint(endpoint);
 }
 
-void BalancerDriver::fire() {
-    armed_for_ = 0;
-    const Millis now = clock_.now();
-    while (!due_.empty() && due_.top().at <= now) {
-        const Due due = due_.top();
-        due_.pop();
-        if (due.attempt)
-            upstream_.expire(*due.attempt);
-        else
-            push(TimerFired{due.token});
-    }
-    arm();
+void BalancerDriver::forward_response(RequestId id, PendingRequest& request, HttpResponse& response,
+                                      bool request_error) {
+    strip_hop_by_hop(response);
+    response.erase("X-Backend-Load");
+    answer(id, request, std::move(response), request_error ? totals_.forwarded_errors : totals_.served);
 }
 
-// ---- The table
-// ----------------------------------------------------------------------------------------------
-
-EndpointId BalancerDriver::server(const std::string& name) {
-    const auto known = server_ids_.find(name);
-    if (known != server_ids_.end()) return known->second;
-    const EndpointId id = endpoint_id(name, [this](EndpointId n) { return servers_.count(n) > 0; });
-    server_ids_[name] = id;
-    servers_[id].name = name;
-    return id;
+void BalancerDriver::probe_ended(EndpointId id, Outcome outcome, Millis duration) {
+    enqueue(ProbeEnded{id, outcome, duration});
+    release_endpoint(id);
 }
 
-void BalancerDriver::drop_server(EndpointId id) {
-    const auto at = servers_.find(id);
-    if (at == servers_.end() || at->second.listed || at->second.out > 0) return;
-    server_ids_.erase(at->second.name);
-    servers_.erase(at);
+void BalancerDriver::release_endpoint(EndpointId id) {
+    if (UpstreamEndpoint* endpoint = endpoints_.find(id)) --endpoint->in_flight;
+    endpoints_.remove_if_unused(id);
 }
 
-void BalancerDriver::drop_request(RequestId id) {
-    const auto at = requests_.find(id);
-    if (at != requests_.end() && at->second.ended && at->second.out == 0) requests_.erase(at);
-}
+// ---- Endpoints
 
-void BalancerDriver::trace(std::string_view event, const Request& request,
-                           std::initializer_list<std::pair<std::string_view, nlohmann::json>> more) const {
-    std::vector<std::pair<std::string_view, nlohmann::json>> fields(more);
-    fields.emplace_back("id", request.correlation_id);
-    trace_event(event, fields);
+void BalancerDriver::endpoints_received(const EndpointList& list, bool cached) {
+    EndpointUpdate event;
+    event.kind = cached          ? EndpointUpdateKind::cached
+                 : list.complete ? EndpointUpdateKind::full
+                                 : EndpointUpdateKind::incremental;
+    EndpointTable::Changes changes = endpoints_.update(list);
+    event.endpoints = std::move(changes.updates);
+    has_endpoints_ = true;
+    // No pending connection to an endpoint that drains or is gone is used from here on.
+    const std::vector<EndpointId> not_serving = endpoints_.not_serving();
+    // The balancer sees the list first: what the list withdraws is then rescheduled by it, and not to an
+    // endpoint that it excludes.
+    enqueue(std::move(event));
+    for (const EndpointId id : changes.moved) upstream_.withdraw_endpoint(id);
+    for (const EndpointId id : not_serving) upstream_.withdraw_endpoint(id);
+    for (const EndpointId id : not_serving) endpoints_.remove_if_unused(id);
 }
 
-void BalancerDriver::answer(RequestId id, Request& request, HttpResponse response, std::uint64_t& total) {
-    if (request.ended) return;
-    request.ended = true;
-    request.facts.answered = true;
-    rule_guard_.check_answer(request.facts.deadline, clock_.now());
-    --pending_requests_;
-    ++total;
-    if (tracing()) trace("answered", request, {{"status", response.result_int()}});
-    // What a server says of the request itself is no failure of ours.
-    if (on_final_answer && &total != &totals_.forwarded_errors)
-        on_final_answer(request.snapshot->version, &total == &totals_.served);
-    if (const auto client = request.client.lock()) client->answer(std::move(response));
-    upstream_.withdraw_request(id);
-}
+void BalancerDriver::endpoints_failed() { enqueue(EndpointUpdate{EndpointUpdateKind::failed, {}}); }
 
-// ---- Actions
-// ------------------------------------------------------------------------------------------------
-
-void BalancerDriver::carry_out(const SendAttempt& a) {
-    const auto at = requests_.find(a.id);
-    const auto to = servers_.find(a.endpoint);
-    if (at == requests_.end()) return;
-    Request& request = at->second;
-    const AttemptKey key{a.id, static_cast<std::uint32_t>(request.facts.attempts.size())};
-    const EndpointFacts server = facts_of(a.endpoint);
-    request.facts.attempts.push_back({a.endpoint, server.zone, server.cell, clock_.now()});
-    ++request.out;
-    ++totals_.attempts;
-    if (key.attempt > 0)
-        ++totals_.retries[request.out > 1 || !request.last_outcome
-                              ? kOutcomeCount
-                              : static_cast<std::size_t>(*request.last_outcome)];
-    if (tracing())
-        trace("send", request,
-              {{"attempt", key.attempt},
-               {"server", to == servers_.end() ? std::string("?") : to->second.name},
-               {"after", request.last_outcome ? to_string(*request.last_outcome) : ""},
-               {"until_ms", a.give_up_at - clock_.now()}});
-    if (to != servers_.end()) ++to->second.out;
-    if (to == servers_.end() || !may_write(key, false)) return attempt_ended(key, Outcome::not_sent, nullptr);
-    rule_guard_.check_propagated_deadline(a.give_up_at, request.facts.deadline);
-    due_.push({a.give_up_at, 0, due_order_++, key, 0});
-    upstream_.send(key, a.endpoint, to->second.dial, request.message, a.give_up_at, a.write_before,
-                   request.snapshot->config.connect_timeout);
+std::vector<NamedEndpointSnapshot> BalancerDriver::endpoint_snapshots() const {
+    std::vector<NamedEndpointSnapshot> named;
+    for (const EndpointSnapshot& snapshot : balancer_.snapshot())
+        if (const UpstreamEndpoint* endpoint = endpoints_.find(snapshot.endpoint))
+            named.push_back(
+                {endpoint->name, endpoint->started_at, snapshot.ejected_for, snapshot.latency_ratio});
+    return named;
 }
 
-void BalancerDriver::carry_out(const CancelAttempt& a) { upstream_.cancel({a.id, a.attempt}); }
-
-void BalancerDriver::carry_out(const RejectRequest& a) {
-    const auto at = requests_.find(a.id);
-    if (at == requests_.end()) return;
-    if (!rule_guard_.check_rejection(at->second.facts, clock_.now()))
-        return carry_out(FailRequest{a.id, a.reason});
-    HttpResponse response(http::status::service_unavailable, 11);
-    if (a.retry_after > 0) {
-        char seconds[32];
-        std::snprintf(seconds, sizeof seconds, "%.3f",
-                      std::min(a.retry_after, at->second.snapshot->config.max_retry_after) / 1000);
-        response.set(http::field::retry_after, seconds);
+void BalancerDriver::restore(const std::vector<NamedEndpointSnapshot>& snapshots) {
+    StateRestored event;
+    for (const NamedEndpointSnapshot& snapshot : snapshots) {
+        const auto id = endpoints_.find_id(snapshot.name);
+        // What was learned about an earlier process of the same name does not apply.
+        if (!id || endpoints_.find(*id)->started_at != snapshot.started_at) continue;
+        event.endpoints.push_back({*id, snapshot.ejected_for, snapshot.latency_ratio});
     }
-    ++totals_.rejections[static_cast<std::size_t>(a.reason)];
-    if (tracing()) trace("refused", at->second, {{"reason", to_string(a.reason)}});
-    answer(a.id, at->second, std::move(response), totals_.rejected);
-    drop_request(a.id);
+    enqueue(std::move(event));
 }
 
-void BalancerDriver::carry_out(const FailRequest& a) {
-    const auto at = requests_.find(a.id);
-    if (at == requests_.end()) return;
-    ++totals_.failures[static_cast<std::size_t>(a.reason)];
-    if (tracing()) trace("failed", at->second, {{"reason", to_string(a.reason)}});
-    answer(a.id, at->second, HttpResponse(http::status::bad_gateway, 11), totals_.failed);
-    drop_request(a.id);
-}
-
-void BalancerDriver::carry_out(const SetTimer& a) {
-    due_.push({a.at, 1, due_order_++, std::nullopt, a.token});
-}
-
-void BalancerDriver::carry_out(const SendProbe& a) {
-    const auto to = servers_.find(a.endpoint);
-    if (to == servers_.end() || !to->second.listed)
-        return push(ProbeEnded{a.endpoint, Outcome::connect_failure, 0});
-    ++to->second.out;
-    ++totals_.probes;
-    upstream_.probe(a.endpoint, to->second.dial);
-}
-
-void BalancerDriver::carry_out(const CloseIdleConnections& a) { upstream_.close_idle(a.endpoint); }
-
-void BalancerDriver::carry_out(const SendGossip& a) {
-    if (!peers_) return;
-    ++totals_.gossip_sent;
-    peers_->send(a.to, a.bytes);
-}
-
-void BalancerDriver::carry_out(const PublishEvidence& a) {
-    const auto s = servers_.find(a.endpoint);
-    if (s == servers_.end() || !on_evidence) return;
-    const auto byte = [](double value) { return static_cast<std::uint8_t>(std::clamp(value, 0.0, 255.0)); };
-    replication::Evidence e;
-    e.successes = byte(std::round(a.successes)), e.failures = byte(std::round(a.failures));
-    e.latency_ratio = byte(std::round(a.latency_ratio * 64));
-    e.flags = static_cast<std::uint8_t>((a.ejected ? replication::kRemoved : 0) |
-                                        (a.recovered ? replication::kRestored : 0));
-    on_evidence(endpoint_key(a.endpoint, s->second.born), e);
-}
+// ---- Other sidecars
 
-void BalancerDriver::carry_out(const SubscribeEndpoints& a) {
-    if (snapshot_->settings->polled_discovery && discovery_) discovery_->watch(a.active);
+replication::EndpointKey BalancerDriver::endpoint_key_of(const ListedEndpoint& endpoint) const {
+    return endpoints_.key_of(endpoint);
 }
 
-void BalancerDriver::carry_out(const FetchEndpoints&) {
-    if (discovery_) discovery_->fetch();
+void BalancerDriver::evidence_received(const std::vector<replication::EndpointTotals>& evidence) {
+    const auto ids = endpoints_.ids_by_key();
+    FleetEvidence event;
+    for (const replication::EndpointTotals& totals : evidence) {
+        const auto id = ids.find(totals.endpoint);
+        if (id == ids.end()) continue;
+        event.endpoints.push_back({id->second, totals.successes, totals.failures, totals.reporters,
+                                   totals.direct_reporters, totals.withdrawals, totals.recoveries,
+                                   totals.latency_reporters, totals.latency_ratio});
+    }
+    enqueue(std::move(event));
 }
 
-void BalancerDriver::carry_out(const LogMessage& a) {
-    const auto at = a.endpoint ? servers_.find(*a.endpoint) : servers_.end();
-    log_line((at == servers_.end() ? std::string() : at->second.name + " ") + a.text);
+void BalancerDriver::gossip_received(std::uint32_t from, std::vector<std::uint8_t> bytes) {
+    enqueue(GossipReceived{from, std::move(bytes)});
 }
 
 }  // namespace ochregrade::sidecar
--- a/src/proxy/balancer_driver.hpp
+++ b/src/proxy/balancer_driver.hpp
@@ -1,15 +1,13 @@
-// Translates between the sockets and the Balancer: what happens becomes events, in order and never
-// re-entrantly; its actions are carried out in order. Nothing is chosen, retried or refused here.
+// Connects the Balancer to the sockets: what happens becomes its events, handled in order and never
+// re-entrantly, and its actions are executed in order. Makes no decision of its own: it neither chooses
+// endpoints nor retries or rejects requests.
 #pragma once
 
 #include <array>
 #include <deque>
 #include <functional>
-#include <map>
 #include <memory>
 #include <nlohmann/json.hpp>
-#include <optional>
-#include <queue>
 #include <string>
 #include <unordered_map>
 #include <vector>
@@ -19,10 +17,14 @@
 #include "common/trace.hpp"
 #include "control/config.hpp"
 #include "control/config_versions.hpp"
-#include "discovery/start_times.hpp"
 #include "ochregrade/balancer.hpp"
+#include "proxy/endpoint_table.hpp"
+#include "proxy/labels.hpp"
+#include "proxy/pending_request.hpp"
 #include "proxy/rule_guard.hpp"
+#include "proxy/timer_queue.hpp"
 #include "proxy/upstream_pool.hpp"
+#include "proxy/zones.hpp"
 #include "replication/records.hpp"
 
 namespace ochregrade::sidecar {
@@ -30,188 +32,133 @@
 class DiscoveryClient;
 class GossipTransport;
 
-// Whoever waits for a request's answer.
-class Client {
-public:
-    virtual ~Client() = default;
-    virtual void answer(HttpResponse response) = 0;  // exactly once for each request
-    // Leaves at once (client_gone) if it has left and nobody has noticed yet.
-    virtual void check_disconnected() = 0;
-};
-
-// What is costly to learn anew about a server, by its name and start.
+/// The learned state of an endpoint that is kept across restarts of the sidecar, for one start of the
+/// endpoint.
 struct NamedEndpointSnapshot {
     std::string name;
-    Millis started_at = 0;
-    Millis ejected_for = 0;  // 0: it is in the pool
+    Millis started_at = 0;   // Unix milliseconds
+    Millis ejected_for = 0;  // milliseconds left; 0: not ejected
     double latency_ratio = 0;
 };
 
-// As in the metrics and the trace.
-std::string_view to_string(EndReason reason);
-std::string_view to_string(Outcome outcome);
-
-// Numbers for zones, the same from one generation of the configuration to the next.
-class Zones {
-public:
-    ZoneId number(const std::string& name);  // a name not met before gets the next one
-
-private:
-    static constexpr std::size_t kMost = 1024;  // whatever discovery says: further ones share a number
-    std::unordered_map<std::string, ZoneId> numbers_;
-};
-
 class BalancerDriver {
 public:
     BalancerDriver(asio::io_context& io, const Clock& clock, Zones& zones, ConfigSnapshotPtr snapshot,
                    UpstreamPool::Limits limits);
     ~BalancerDriver();
-    void connect_to(DiscoveryClient& discovery, GossipTransport* peers);
-    void start();  // with the list held from before, if there is one
-    // In force for what begins from here on. What has happened so far is handled by what was in force then.
-    // Not from within an event.
+    void connect_to(DiscoveryClient& discovery, GossipTransport* gossip);
+    /// Starts the balancer, with the endpoint list kept from before if there is one.
+    void start();
+    /// Puts a configuration in force for requests that begin from now on. Events so far are handled by the
+    /// one in force before. Must not be called from within an event.
     void apply(ConfigSnapshotPtr snapshot, UpstreamPool::Limits limits);
-    // The final answer of each request, by the generation that it began with.
-    std::function<void(std::uint64_t generation, bool served)> on_final_answer;
+    /// Called with the final answer of each request, by the configuration version that it began with.
+    std::function<void(std::uint64_t version, bool served)> on_final_answer;
 
-    // What is to be shared with the other sidecars, by the server's key.
-    std::function<void(replication::EndpointKey server, const replication::Evidence& evidence)> on_evidence;
+    /// Called with evidence to be shared with the other sidecars.
+    std::function<void(replication::EndpointKey endpoint, const replication::Evidence& evidence)> on_evidence;
 
-    // From clients. The answer comes later, through the client.
+    /// A request has arrived completely; `time_left` in milliseconds. The answer comes later, through the
+    /// client.
     RequestId request_arrived(RequestPtr request, Millis time_left, std::weak_ptr<Client> client,
                               ConfigSnapshotPtr snapshot);
     void client_disconnected(RequestId id);
-    // Answers a request as failed before its time: others behind it on its connection are owed theirs.
+    /// Answers a request as failed before its deadline: requests pipelined behind it are due.
     void fail_for_pipelined(RequestId id);
 
-    // From discovery and from other sidecars.
-    void endpoints_received(const EndpointList& endpoints, bool saved = false);
+    /// A list from discovery; `cached`: kept from an earlier run.
+    void endpoints_received(const EndpointList& endpoints, bool cached = false);
+    /// A call to discovery failed.
     void endpoints_failed();
-    replication::EndpointKey endpoint_key_of(const ListedEndpoint& host);
-    // What the other sidecars share; servers that are not listed here are passed over.
+    replication::EndpointKey endpoint_key_of(const ListedEndpoint& endpoint) const;
+    /// Evidence from the other sidecars; endpoints that are not listed here are ignored.
     void evidence_received(const std::vector<replication::EndpointTotals>& evidence);
     void gossip_received(std::uint32_t from, std::vector<std::uint8_t> bytes);
 
-    // For a later life, and from an earlier one.
-    EndpointList endpoints() const;
+    /// The listed endpoints and what was learned about them, to be restored after a restart.
+    EndpointList endpoints() const { return endpoints_.list(); }
     std::vector<NamedEndpointSnapshot> endpoint_snapshots() const;
-    void restore(const std::vector<NamedEndpointSnapshot>& endpoint_snapshots);
+    void restore(const std::vector<NamedEndpointSnapshot>& snapshots);
 
     bool has_endpoints() const { return has_endpoints_; }
     std::size_t pending_requests() const { return pending_requests_; }
     const ConfigSnapshotPtr& snapshot() const { return snapshot_; }
-    // Since the start, by how they ended.
+    /// Counts since the start; requests by how they ended.
     struct Totals {
         std::uint64_t arrived = 0, served = 0, rejected = 0, failed = 0, forwarded_errors = 0,
                       client_disconnects = 0;
         std::uint64_t attempts = 0, probes = 0, gossip_sent = 0, connects = 0;
-        // Final answers that are no server's, by reason; attempts after the first, by how the one before
-        // ended (the last place: it was still in flight, a hedge).
+        // Final answers that are not an endpoint's, by reason.
         std::array<std::uint64_t, static_cast<std::size_t>(EndReason::count)> rejections{}, failures{};
+        // Attempts after the first, by the outcome of the one before; the last element: it was still in
+        // flight (a hedge).
         std::array<std::uint64_t, kOutcomeCount + 1> retries{};
     };
     const Totals& totals() const { return totals_; }
-    // Every action that a rule may forbid passes this one.
+    /// Checks every action that a rule may forbid.
     RuleGuard& rule_guard() { return rule_guard_; }
     const RuleGuard& rule_guard() const { return rule_guard_; }
-    // What is held at present, here, on the sockets and in the module. At rest no request is, and of servers
-    // only those listed.
+    /// What is in use now, here, on the sockets and in the balancer. At rest: no requests, and only the
+    /// listed endpoints.
     struct Usage {
         std::size_t requests = 0, attempts = 0, endpoints = 0, known_endpoints = 0, pools = 0,
                     connections = 0, ejected = 0;
     };
     Usage usage() const;
+    /// Closed upstream connections, by reason.
     const CloseCounts& server_closes() const { return upstream_.closes(); }
 
 private:
-    struct Request {
-        std::string correlation_id;
-        RequestPtr message;
-        std::weak_ptr<Client> client;
-        ConfigSnapshotPtr snapshot;  // that it began with
-        std::uint32_t out = 0;
-        bool ended = false;  // answered, or its client has left
-        RequestFacts facts;
-        std::optional<Outcome> last_outcome;  // none: no attempt has ended yet
-    };
-    struct Server {
-        std::string name;
-        tcp::endpoint dial;
-        EndpointState phase = EndpointState::serving;
-        Millis born = 0;     // as told, Unix time: which start it is
-        Millis started = 0;  // the same on our clock
-        std::string zone;
-        std::uint32_t cell = 0;
-        double units = 1;
-        bool listed = false;
-        std::uint32_t out = 0;  // attempts and probes
-    };
-    // A time-out of an attempt comes before a timer for the same moment: a request that is over at its
-    // deadline has then seen how its attempt ended.
-    struct Due {
-        Millis at = 0;
-        int rank = 0;
-        std::uint64_t order = 0;
-        std::optional<AttemptKey> attempt;
-        TimerToken token = 0;
-        bool operator>(const Due& other) const {
-            return std::tie(at, rank, order) > std::tie(other.at, other.rank, other.order);
-        }
-    };
-
-    void push(Event event);
-    void pump();
-    void arm();
-    void fire();
+    void enqueue(Event event);
+    void handle_events();
+    void start_timer();
+    void on_timer();
     void attempt_ended(AttemptKey key, Outcome outcome, HttpResponse* response);
+    void forward_response(RequestId id, PendingRequest& request, HttpResponse& response, bool request_error);
     void probe_ended(EndpointId id, Outcome outcome, Millis duration);
-    bool may_write(AttemptKey key, bool begun);
-    EndpointFacts facts_of(EndpointId id) const;
-    EndpointId server(const std::string& name);
-    void drop_server(EndpointId id);
-    void drop_request(RequestId id);
-    void answer(RequestId id, Request& request, HttpResponse response, std::uint64_t& total);
-    void trace(std::string_view event, const Request& request,
-               std::initializer_list<std::pair<std::string_view, nlohmann::json>> more) const;
-
-    void carry_out(const SendAttempt& a);
-    void carry_out(const CancelAttempt& a);
-    void carry_out(const RejectRequest& a);
-    void carry_out(const FailRequest& a);
-    void carry_out(const SetTimer& a);
-    void carry_out(const SendProbe& a);
-    void carry_out(const CloseIdleConnections& a);
-    void carry_out(const SendGossip& a);
-    void carry_out(const SubscribeEndpoints& a);
-    void carry_out(const FetchEndpoints& a);
-    void carry_out(const LogMessage& a);
-    void carry_out(const PublishEvidence& a);
+    bool may_write(AttemptKey key, bool partly_written);
+    PendingRequest* find_request(RequestId id);
+    void count_attempt(AttemptKey key, const PendingRequest& request);
+    void remove_request_if_done(RequestId id);
+    void release_endpoint(EndpointId id);
+    void answer(RequestId id, PendingRequest& request, HttpResponse response, std::uint64_t& total);
+    void trace(std::string_view event, const PendingRequest& request,
+               std::initializer_list<std::pair<std::string_view, nlohmann::json>> details) const;
+
+    void execute(const SendAttempt& action);
+    void execute(const CancelAttempt& action);
+    void execute(const RejectRequest& action);
+    void execute(const FailRequest& action);
+    void execute(const SetTimer& action);
+    void execute(const SendProbe& action);
+    void execute(const CloseIdleConnections& action);
+    void execute(const SendGossip& action);
+    void execute(const SubscribeEndpoints& action);
+    void execute(const FetchEndpoints& action);
+    void execute(const LogMessage& action);
+    void execute(const PublishEvidence& action);
 
     asio::io_context& io_;
     const Clock& clock_;
-    Zones& zones_;
     ConfigSnapshotPtr snapshot_;
     Totals totals_;
     RuleGuard rule_guard_;
     Balancer balancer_;
     UpstreamPool upstream_;
     DiscoveryClient* discovery_ = nullptr;
-    GossipTransport* peers_ = nullptr;
+    GossipTransport* gossip_ = nullptr;
 
     std::deque<Event> events_;
-    bool pump_posted_ = false;
+    bool handling_posted_ = false;
     std::vector<Action> actions_;
-    std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
-    std::uint64_t due_order_ = 0;
+    TimerQueue timers_;
     asio::steady_timer timer_;
-    Millis armed_for_ = 0;
-
-    std::unordered_map<RequestId, Request> requests_;
-    RequestId next_request_ = 1;
-    std::size_t pending_requests_ = 0;
-    std::unordered_map<std::string, EndpointId> server_ids_;
-    std::map<EndpointId, Server> servers_;
-    StartTimes start_times_;
+    Millis timer_set_for_ = 0;  // 0: not running
+
+    std::unordered_map<RequestId, PendingRequest> requests_;  // also those that ended with attempts in flight
+    RequestId next_request_id_ = 1;
+    std::size_t pending_requests_ = 0;  // not yet answered
+    EndpointTable endpoints_;
     bool has_endpoints_ = false;
 };
 
--- /dev/null
+++ b/src/proxy/client_session.cpp
@@ -0,0 +1,294 @@
+#include "proxy/client_session.hpp"
+
+#include <algorithm>
+#include <array>
+#include <utility>
+
+#include "common/log.hpp"
+#include "common/socket_io.hpp"
+#include "common/trace.hpp"
+#include "proxy/request_validation.hpp"
+
+namespace ochregrade::sidecar {
+
+namespace {
+
+// The protocol: a client gets a response or a close within 3 s, however little it sends.
+constexpr Millis kReadTimeout = 2500;    // for a whole request, from the connection's start or its first byte
+constexpr Millis kMinReadTimeout = 200;  // for the rest of a request whose first bytes came long before
+constexpr Millis kWriteTimeout = 5000;   // for a response that the client does not read
+constexpr Millis kLingerTimeout = 500;   // for the client to read the last response
+// How long a new connection may take to send its first request before a drain closes it.
+constexpr Millis kFirstRequestGrace = 200;
+// How long a session must have been in its state before it may be evicted: silent ones that were never used,
+// slow senders of a first request, and idle ones, on which the client may still rely.
+constexpr Millis kSilentGrace = 20;
+constexpr Millis kSlowGrace = 150;
+constexpr Millis kIdleGrace = 2000;
+// Subtracted from the client's time: the response must have arrived by its deadline.
+constexpr Millis kAnswerMargin = 5;
+
+http::status status_for(error_code ec) {
+    if (ec == http::error::body_limit) return http::status::payload_too_large;
+    if (ec == http::error::header_limit) return http::status::request_header_fields_too_large;
+    return http::status::bad_request;
+}
+
+// As in the trace.
+std::string_view to_string(ClientSession::State state) {
+    constexpr std::array<std::string_view, 6> kNames = {"idle",    "reading",   "waiting",
+                                                        "writing", "lingering", "closed"};
+    return kNames.at(static_cast<std::size_t>(state));
+}
+
+}  // namespace
+
+// ---- Lifetime
+
+ClientSession::ClientSession(ListenerContext& context, tcp::socket socket, Millis waited)
+    : context_(context), socket_(std::move(socket)), waited_(waited), state_since_(context.clock.now()) {}
+
+void ClientSession::start(ListenerContext& context, const std::shared_ptr<ClientSession>& session) {
+    session->position_ = context.sessions.insert(context.sessions.end(), session);
+    error_code ec;
+    session->socket_.set_option(tcp::no_delay(true), ec);
+    session->socket_.non_blocking(true, ec);
+    // Counted from when the connection was established, which may be before it could be accepted.
+    session->deadline_ = session->state_since_ + std::max(kReadTimeout - session->waited_, kMinReadTimeout);
+    session->receive();
+}
+
+bool ClientSession::is_quiet() {
+    // Whoever opens a connection sends a request on it at once.
+    const bool is_new = first_request_ && context_.clock.now() < state_since_ + kFirstRequestGrace;
+    return state_ == State::idle && input_.size() == 0 && !is_new && !has_unread_bytes();
+}
+
+ClientSession::EvictionRank ClientSession::eviction_rank(Millis now) const {
+    const Millis age = now - state_since_;
+    if (state_ == State::idle && first_request_ && age >= kSilentGrace) return EvictionRank::silent;
+    if (state_ == State::lingering && age >= kSilentGrace) return EvictionRank::lingering;
+    if (state_ == State::reading && first_request_ && age >= kSlowGrace) return EvictionRank::slow;
+    if (state_ == State::idle && !first_request_ && age >= kIdleGrace) return EvictionRank::idle;
+    return EvictionRank::never;
+}
+
+void ClientSession::close(CloseReason reason) {
+    if (state_ == State::closed) return;
+    const State before = state_;
+    context_.driver.rule_guard().check_close(before == State::waiting, reason == CloseReason::peer_closed);
+    ++context_.closes[static_cast<std::size_t>(reason)];
+    if (tracing()) trace_close(before, reason);
+    state_ = State::closed;
+    error_code ignored;
+    socket_.close(ignored);
+    release_request();
+    account_pipelined(0);
+    if (before == State::waiting) context_.driver.client_disconnected(request_id_);
+    context_.remove(position_);
+}
+
+void ClientSession::trace_close(State before, CloseReason reason) const {
+    trace_event("client_connection_closed",
+                {{"id", open_request_id_}, {"state", to_string(before)}, {"reason", to_string(reason)}});
+}
+
+void ClientSession::check_disconnected() {
+    if (state_ == State::waiting && peek(socket_) == SocketState::ended) close(CloseReason::peer_closed);
+}
+
+void ClientSession::on_deadline() {
+    if (state_ == State::waiting) return context_.driver.fail_for_pipelined(request_id_);
+    if (state_ == State::reading) return reject(http::status::request_timeout);
+    if (state_ == State::idle && has_unread_bytes()) return;  // about to be read
+    close(state_ == State::lingering ? CloseReason::answered : CloseReason::timeout);
+}
+
+void ClientSession::resume_reading() {
+    discarded_pipelined_bytes_ = 0;
+    if (state_ == State::waiting) receive();
+}
+
+void ClientSession::become_idle() {
+    state_ = State::idle;
+    deadline_ = 0;
+    state_since_ = context_.clock.now();
+    if (context_.draining && is_quiet()) return close(CloseReason::draining);
+    context_.sessions.splice(context_.sessions.end(), context_.sessions, position_);
+    if (input_.size() > 0) return begin_request();
+    if (input_.capacity() > kClientReadSize) input_.shrink_to_fit();
+    receive();
+    context_.accept_next();  // this session may now be evicted
+}
+
+// ---- Requests
+
+void ClientSession::begin_request() {
+    state_ = State::reading;
+    pipelined_.begin_next();
+    const Millis now = context_.clock.now();
+    // Its time runs from its arrival: pipelined, or while nothing was read.
+    request_began_ =
+        pipelined_since_.value_or(now - std::max(std::exchange(waited_, 0), context_.loop_waited()));
+    pipelined_since_.reset();
+    account_pipelined(0);  // its body is reserved when its head is accepted
+    if (deadline_ == 0) deadline_ = std::max(request_began_ + kReadTimeout, now + kMinReadTimeout);
+    parser_.emplace();
+    parser_->header_limit(kMaxHeader);
+    parser_->body_limit(kMaxBody);
+    parser_->eager(false);
+    head_checked_ = false;
+    head_bytes_ = 0;
+    parse();
+}
+
+void ClientSession::parse() {
+    while (!parser_->is_done()) {
+        const error_code ec = parse_buffered(*parser_, input_, head_bytes_);
+        if (ec == http::error::need_more) return receive();
+        if (ec) return reject(status_for(ec));
+        if (parser_->is_header_done() && !head_checked_) {
+            head_checked_ = true;
+            if (!accept_head()) return;
+        }
+    }
+    handle_request();
+}
+
+bool ClientSession::is_health_check() const {
+    const auto& head = parser_->get();
+    return head.target() == "/healthz" && head.method() == http::verb::get;
+}
+
+// No body is read before its head is valid and there is memory for it. False: the request has been rejected.
+bool ClientSession::accept_head() {
+    snapshot_ = context_.driver.snapshot();
+    const HttpRequest& head = parser_->get();
+    auto error = framing_error(head);
+    const bool framing_valid = !error;
+    if (!error && !is_health_check()) {
+        error = request_error(head, snapshot_->config);
+        if (error) context_.report_invalid_request(snapshot_, head);
+    }
+    const std::size_t length = parser_->chunked() ? kMaxBody : parser_->content_length().value_or(0);
+    if (error) {
+        keep_alive_ = framing_valid && length == 0 && head.keep_alive();
+        write(HttpResponse(*error, 11), keep_alive_);
+        return false;
+    }
+    if (context_.body_bytes + length > context_.limits.body_bytes) {
+        reject(http::status::service_unavailable);
+        return false;
+    }
+    reserved_body_bytes_ = length;
+    context_.body_bytes += length;
+    return true;
+}
+
+void ClientSession::handle_request() {
+    const bool chunked = parser_->chunked();
+    const bool health_check = is_health_check();
+    auto request = std::make_shared<HttpRequest>(parser_->release());
+    parser_.reset();
+    account_pipelined(input_.size());
+    if (input_.size() > 0) pipelined_since_ = request_began_;  // it came together with this request
+    keep_alive_ = request->keep_alive();
+    first_request_ = false;
+    if (health_check) return answer_health_check();
+    // A request belongs to the configuration in force at its last byte. Trailers may add to the head.
+    const bool config_changed = snapshot_ != context_.driver.snapshot();
+    snapshot_ = context_.driver.snapshot();
+    if (chunked && framing_error(*request)) return reject(http::status::bad_request);
+    if (chunked || config_changed) {
+        if (const auto error = request_error(*request, snapshot_->config)) {
+            if (config_changed) context_.report_invalid_request(snapshot_, *request);
+            return write(HttpResponse(*error, 11), keep_alive_ && !chunked);
+        }
+    }
+    std::string id((*request)["X-Correlation-Id"]);
+    if (!context_.open_request_ids.insert(id).second)
+        return write(HttpResponse(http::status::conflict, 11), keep_alive_);
+    open_request_id_ = std::move(id);
+    forward(std::move(request));
+}
+
+void ClientSession::answer_health_check() {
+    const bool ready = context_.ready();
+    if (ready) context_.driver.rule_guard().check_ready(context_.driver.has_endpoints());
+    write(HttpResponse(ready ? http::status::ok : http::status::service_unavailable, 11), keep_alive_);
+}
+
+// Milliseconds from the request's arrival.
+Millis ClientSession::time_left(const HttpRequest& request) const {
+    // No client waits longer than the longest deadline of any class.
+    const Millis left =
+        std::min(*parse_time_left(request["X-Time-Left"]), snapshot_->config.longest_deadline);
+    return context_.draining ? std::min(left, context_.drain_deadline - context_.clock.now()) : left;
+}
+
+void ClientSession::forward(std::shared_ptr<HttpRequest> request) {
+    const Millis spent = context_.clock.now() - request_began_;
+    const Millis left = time_left(*request);
+    strip_hop_by_hop(*request);
+    request->prepare_payload();
+    state_ = State::waiting;
+    pipelined_.update(input_.data(), request_began_);
+    deadline_ = deadline_for_pipelined();
+    request_id_ =
+        context_.driver.request_arrived(std::move(request), std::max(0.0, left - spent - kAnswerMargin),
+                                        weak_from_this(), std::move(snapshot_));
+    receive();
+}
+
+// Gives back what the session holds for its request.
+void ClientSession::release_request() {
+    context_.body_bytes -= std::exchange(reserved_body_bytes_, 0);
+    if (!open_request_id_.empty()) context_.open_request_ids.erase(open_request_id_);
+    open_request_id_.clear();
+}
+
+// ---- Responses
+
+void ClientSession::answer(HttpResponse response) {
+    if (state_ != State::waiting) return;  // the client has left
+    release_request();
+    write(std::move(response), keep_alive_);
+}
+
+void ClientSession::write(HttpResponse response, bool keep_alive) {
+    state_ = State::writing;
+    release_request();
+    parser_.reset();
+    snapshot_.reset();
+    deadline_ = context_.clock.now() + kWriteTimeout;
+    response.version(11);
+    // Near the limit on connections, one that stays idle could keep the next from being accepted at all.
+    keep_alive = keep_alive && !context_.draining && !context_.nearly_full();
+    response.keep_alive(keep_alive);
+    response.prepare_payload();
+    output_ = text_of_message(response);
+    async_write_all(
+        socket_, asio::buffer(output_),
+        [this, self = shared_from_this(), keep_alive](error_code ec) { on_written(ec, keep_alive); });
+}
+
+void ClientSession::on_written(error_code ec, bool keep_alive) {
+    if (state_ != State::writing) return;
+    output_ = std::string();
+    if (ec || disconnected_) return close(CloseReason::peer_closed);
+    if (keep_alive && keep_alive_) return become_idle();
+    linger();
+}
+
+// Closed with bytes unread, the kernel would reset the connection and discard the response.
+void ClientSession::linger() {
+    state_ = State::lingering;
+    state_since_ = context_.clock.now();
+    deadline_ = state_since_ + kLingerTimeout;
+    error_code ec;
+    socket_.shutdown(tcp::socket::shutdown_send, ec);
+    drop_pipelined();
+    receive();
+}
+
+}  // namespace ochregrade::sidecar
--- /dev/null
+++ b/src/proxy/client_session.hpp
@@ -0,0 +1,110 @@
+// One client connection: reads requests (HTTP/1.1, also pipelined), validates them, passes them to the
+// balancer driver and writes the responses, one request at a time, until it closes.
+#pragma once
+
+#include <memory>
+#include <optional>
+#include <string>
+
+#include "common/http.hpp"
+#include "proxy/balancer_driver.hpp"
+#include "proxy/listener_context.hpp"
+#include "proxy/pipelined_requests.hpp"
+
+namespace ochregrade::sidecar {
+
+// What the kernel holds unread counts as memory, and a sender at full speed fills it.
+constexpr int kClientReceiveBuffer = 64 * 1024;
+// What is read at a time; an idle session keeps no larger buffer.
+constexpr std::size_t kClientReadSize = 4096;
+
+class ClientSession : public Client, public std::enable_shared_from_this<ClientSession> {
+public:
+    enum class State { idle, reading, waiting, writing, lingering, closed };
+    /// Which sessions are closed first when another connection needs a place; never: this one is not closed.
+    enum class EvictionRank { silent, lingering, slow, idle, never };
+
+    /// `waited`: how long its first bytes may have been in the kernel when it was accepted, milliseconds.
+    ClientSession(ListenerContext& context, tcp::socket socket, Millis waited);
+
+    /// Adds `session` to the list and begins to read.
+    static void start(ListenerContext& context, const std::shared_ptr<ClientSession>& session);
+
+    State state() const { return state_; }
+    EvictionRank eviction_rank(Millis now) const;
+    /// Bytes are in the kernel that have not been read; closing now could lose a complete request.
+    bool has_unread_bytes() { return peek(socket_) == SocketState::readable; }
+    /// Idle, with nothing in the kernel either, and not so new that its first request is to be expected.
+    bool is_quiet();
+
+    void answer(HttpResponse response) override;
+    void check_disconnected() override;
+    void close(CloseReason reason);
+
+    bool is_due(Millis now) const { return deadline_ > 0 && now >= deadline_; }
+    void on_deadline();
+    /// Continues to discard pipelined bytes, up to the next bound.
+    void resume_reading();
+
+private:
+    void become_idle();
+    void receive();
+    void read_available_bytes(error_code wait_result);
+    void on_received(error_code ec, asio::const_buffer bytes);
+    void on_read_error(error_code ec);
+    void on_lingering_bytes(error_code ec, std::size_t size);
+    void discard_pipelined(std::size_t size);
+    void on_pipelined_bytes();
+
+    bool reserve_pipelined(std::size_t additional);
+    void account_pipelined(std::size_t bytes);
+    void drop_pipelined();
+    Millis deadline_for_pipelined() const;
+
+    void begin_request();
+    void parse();
+    bool accept_head();
+    bool is_health_check() const;
+    void handle_request();
+    void answer_health_check();
+    void forward(std::shared_ptr<HttpRequest> request);
+    Millis time_left(const HttpRequest& request) const;
+
+    void reject(http::status status) { write(HttpResponse(status, 11), false); }
+    void write(HttpResponse response, bool keep_alive);
+    void on_written(error_code ec, bool keep_alive);
+    void linger();
+    void release_request();
+    void trace_close(State before, CloseReason reason) const;
+
+    ListenerContext& context_;
+    tcp::socket socket_;
+    SessionList::iterator position_{};  // in the context's list
+    State state_ = State::idle;
+    bool receiving_ = false;     // a wait for bytes is pending
+    bool first_request_ = true;  // no complete, valid request has come yet
+    bool disconnected_ = false;  // the client has left while its response was being written
+    bool head_checked_ = false;
+    bool keep_alive_ = true;
+
+    beast::flat_buffer input_;
+    std::optional<http::request_parser<http::string_body>> parser_;
+    std::string output_;          // the response being written
+    ConfigSnapshotPtr snapshot_;  // in force when the request's head was read
+    RequestId request_id_ = 0;
+    std::string open_request_id_;  // the X-Correlation-Id that this session holds
+    std::size_t head_bytes_ = 0;
+    std::size_t reserved_body_bytes_ = 0;
+    std::size_t reserved_pipelined_bytes_ = 0;
+    std::size_t discarded_bytes_ = 0;            // while lingering
+    std::size_t discarded_pipelined_bytes_ = 0;  // since the last resume_reading()
+
+    Millis waited_;  // see the constructor; 0 from the first request on
+    PipelinedRequests pipelined_;
+    std::optional<Millis> pipelined_since_;  // when the first of the pipelined bytes arrived
+    Millis state_since_;
+    Millis request_began_ = 0;
+    Millis deadline_ = 0;  // of the state; 0: none
+};
+
+}  // namespace ochregrade::sidecar
--- /dev/null
+++ b/src/proxy/client_session_input.cpp
@@ -0,0 +1,141 @@
+// What a client session reads: bytes of the current request, pipelined ones, and the end of the connection.
+#include <algorithm>
+#include <array>
+
+#include "common/log.hpp"
+#include "common/socket_io.hpp"
+#include "proxy/client_session.hpp"
+
+namespace ochregrade::sidecar {
+
+namespace {
+
+// A request with others pipelined behind it is failed this long after the first of their deadlines: their
+// responses are due 0.5 s after it, and it takes one check of deadlines to notice and a moment to answer
+// them.
+constexpr Millis kPipelinedGrace = RuleGuard::kAnswerGrace - 150;
+constexpr std::size_t kMaxLingerBytes = 256 * 1024;
+
+// Pipelined bytes are kept up to kFreePipelinedBytes, and up to kMaxPipelinedBytes (one whole request) within
+// the memory for bodies. Further ones are discarded and the connection is closed after the response being
+// prepared: left unread, they would hide that the client leaves. The rate of discarding is bounded by
+// kMaxDiscardedBytes from one check of deadlines to the next: the 4 MB that a kernel holds for a sender take
+// 0.2 s.
+constexpr std::size_t kFreePipelinedBytes = kMaxHeader;
+constexpr std::size_t kMaxPipelinedBytes = kMaxHeader + kMaxBody;
+constexpr std::size_t kMaxDiscardedBytes = 1024 * 1024;
+constexpr std::size_t kDiscardSize = 64 * 1024;
+
+// What Linux reports of a connection that its peer has ended or that the network has broken.
+bool is_disconnect(error_code ec) {
+    return ec == asio::error::eof || ec == asio::error::connection_reset || ec == asio::error::broken_pipe ||
+           ec == asio::error::timed_out || ec == asio::error::host_unreachable ||
+           ec == asio::error::network_unreachable || ec == asio::error::connection_aborted ||
+           ec == asio::error::network_down;
+}
+
+}  // namespace
+
+// ---- Receiving
+
+// Pending in every state: it also detects that the client leaves. Bytes stay in the kernel until the handler
+// runs. A pending read would take them out some turns of the loop earlier, and whoever closes quiet
+// connections in between would close one whose request has arrived.
+void ClientSession::receive() {
+    if (receiving_ || state_ == State::closed) return;
+    receiving_ = true;
+    socket_.async_wait(tcp::socket::wait_read, [this, self = shared_from_this()](error_code ec) {
+        receiving_ = false;
+        if (state_ == State::closed) return;
+        read_available_bytes(ec);
+    });
+}
+
+void ClientSession::read_available_bytes(error_code wait_result) {
+    std::array<char, kDiscardSize> chunk;
+    const std::size_t wanted = state_ == State::waiting && !keep_alive_ ? kDiscardSize : kClientReadSize;
+    Transfer transfer{0, wait_result};
+    if (!wait_result) transfer = read_available(socket_, asio::buffer(chunk.data(), wanted));
+    if (!transfer.error && transfer.bytes == 0) return receive();
+    try {
+        on_received(transfer.error, asio::buffer(chunk, transfer.bytes));
+    } catch (const std::exception& error) {
+        // An error of one connection must not affect the others.
+        log_line(std::string("client connection failed: ") + error.what());
+        close(CloseReason::error);
+    }
+}
+
+void ClientSession::on_received(error_code ec, asio::const_buffer bytes) {
+    if (state_ == State::lingering) return on_lingering_bytes(ec, bytes.size());
+    if (ec) return on_read_error(ec);
+    const bool pipelined = state_ == State::waiting || state_ == State::writing;
+    if (pipelined && (!keep_alive_ || !reserve_pipelined(bytes.size())))
+        return discard_pipelined(bytes.size());
+    if (pipelined && !pipelined_since_) pipelined_since_ = context_.clock.now() - context_.loop_waited();
+    input_.commit(asio::buffer_copy(input_.prepare(bytes.size()), bytes));
+    if (state_ == State::idle) return begin_request();
+    if (state_ == State::reading) return parse();
+    on_pipelined_bytes();
+}
+
+void ClientSession::on_lingering_bytes(error_code ec, std::size_t size) {
+    discarded_bytes_ += size;
+    if (ec || discarded_bytes_ > kMaxLingerBytes) return close(CloseReason::answered);
+    receive();
+}
+
+void ClientSession::on_read_error(error_code ec) {
+    if (state_ != State::writing)
+        return close(is_disconnect(ec) ? CloseReason::peer_closed : CloseReason::error);
+    disconnected_ = true;
+}
+
+// The next request is parsed when the current one is answered; reading goes on to detect that the client
+// leaves.
+void ClientSession::on_pipelined_bytes() {
+    pipelined_.update(input_.data(), context_.clock.now() - context_.loop_waited());
+    if (state_ == State::waiting) deadline_ = deadline_for_pipelined();
+    receive();
+}
+
+void ClientSession::discard_pipelined(std::size_t size) {
+    keep_alive_ = false;  // the pipelined requests are incomplete from here on
+    drop_pipelined();
+    discarded_pipelined_bytes_ += size;
+    if (discarded_pipelined_bytes_ < kMaxDiscardedBytes) receive();
+}
+
+// ---- Pipelined requests
+
+bool ClientSession::reserve_pipelined(std::size_t additional) {
+    const std::size_t total = input_.size() + additional;
+    const std::size_t others = context_.body_bytes - reserved_pipelined_bytes_;
+    if (total > kMaxPipelinedBytes) return false;
+    if (total > kFreePipelinedBytes && others + total - kFreePipelinedBytes > context_.limits.body_bytes)
+        return false;
+    account_pipelined(total);
+    return true;
+}
+
+void ClientSession::account_pipelined(std::size_t bytes) {
+    context_.body_bytes -= reserved_pipelined_bytes_;
+    reserved_pipelined_bytes_ = bytes > kFreePipelinedBytes ? bytes - kFreePipelinedBytes : 0;
+    context_.body_bytes += reserved_pipelined_bytes_;
+}
+
+void ClientSession::drop_pipelined() {
+    input_.clear();
+    input_.shrink_to_fit();
+    pipelined_since_.reset();
+    pipelined_.clear();
+    account_pipelined(0);
+}
+
+// When the current request must have ended for the pipelined ones; 0 if none has a deadline.
+Millis ClientSession::deadline_for_pipelined() const {
+    const auto first = keep_alive_ ? pipelined_.first_deadline() : std::nullopt;
+    return first ? *first + kPipelinedGrace : 0;
+}
+
+}  // namespace ochregrade::sidecar
--- a/src/proxy/close_reason.hpp
+++ b/src/proxy/close_reason.hpp
@@ -1,4 +1,4 @@
-// Why a connection was closed, on either side; counted by reason in /metrics.
+// Why a connection was closed, on the client side or the upstream side; counted by reason in /metrics.
 #pragma once
 
 #include <array>
@@ -9,21 +9,22 @@
 namespace ochregrade::sidecar {
 
 enum class CloseReason : std::size_t {
-    peer_closed,     // the other side ended or broke it
+    peer_closed,     // the peer ended it or it was reset
     answered,        // its last exchange is complete
-    idle,            // unused for as long as it may be
-    timeout,         // the other side took too long
-    made_room,       // its place was needed
-    draining,        // this process or that server drains
+    idle,            // unused for as long as allowed
+    timeout,         // the peer took too long
+    evicted,         // closed in favour of a new one at the limit on connections
+    draining,        // this process drains
     retired,         // not expected to be used again
-    cancelled,       // the request on it is not wanted any more
-    connect_failed,  // it never came up
-    error,           // a fault of this process or machine
+    cancelled,       // its request was cancelled or withdrawn
+    connect_failed,  // never established
+    error,           // an error of this process or machine
     count
 };
 
 using CloseCounts = std::array<std::uint64_t, static_cast<std::size_t>(CloseReason::count)>;
 
+/// The reason's label in /metrics and the trace.
 constexpr std::string_view to_string(CloseReason reason) {
     constexpr std::array<std::string_view, static_cast<std::size_t>(CloseReason::count)> kNames = {
         "peer_closed", "answered", "idle",      "timeout",        "made_room",
--- /dev/null
+++ b/src/proxy/endpoint_table.cpp
@@ -0,0 +1,103 @@
+#include "proxy/endpoint_table.hpp"
+
+#include "common/endpoint_id.hpp"
+#include "fleet/replication_driver.hpp"
+
+namespace ochregrade::sidecar {
+
+UpstreamEndpoint* EndpointTable::find(EndpointId id) {
+    const auto at = endpoints_.find(id);
+    return at == endpoints_.end() ? nullptr : &at->second;
+}
+
+const UpstreamEndpoint* EndpointTable::find(EndpointId id) const {
+    const auto at = endpoints_.find(id);
+    return at == endpoints_.end() ? nullptr : &at->second;
+}
+
+std::optional<EndpointId> EndpointTable::find_id(const std::string& name) const {
+    const auto at = ids_.find(name);
+    if (at == ids_.end()) return {};
+    return at->second;
+}
+
+EndpointId EndpointTable::find_or_add(const std::string& name) {
+    if (const auto known = find_id(name)) return *known;
+    const EndpointId id =
+        endpoint_id(name, [this](EndpointId candidate) { return endpoints_.count(candidate) > 0; });
+    ids_[name] = id;
+    endpoints_[id].name = name;
+    return id;
+}
+
+EndpointTable::Changes EndpointTable::update(const EndpointList& list) {
+    Changes changes;
+    start_times_.observe(clock_.wall_error());
+    if (list.complete)
+        for (auto& [id, endpoint] : endpoints_) endpoint.listed = false;
+    for (const ListedEndpoint& listed : list.endpoints) {
+        const EndpointId id = find_or_add(listed.name);
+        UpstreamEndpoint& endpoint = endpoints_[id];
+        const bool restarted = endpoint.started_at != listed.started_at;
+        // Another process, or another address, which another endpoint may have by now: open connections are
+        // of no use, and pending ones may reach the wrong process.
+        if (restarted || endpoint.address != listed.address) changes.moved.push_back(id);
+        if (restarted) endpoint.started_at_clock = start_times_.start_of(listed.started_at, clock_.now());
+        endpoint.started_at = listed.started_at;
+        endpoint.zone = listed.zone;
+        endpoint.cell = listed.cell;
+        endpoint.capacity_weight = listed.capacity_weight;
+        endpoint.state = listed.state;
+        endpoint.listed = listed.state != EndpointState::gone;
+        if (endpoint.listed) endpoint.address = listed.address;
+        changes.updates.push_back({id, zones_.number(listed.zone), listed.cell, listed.state,
+                                   endpoint.started_at_clock, listed.capacity_weight});
+    }
+    return changes;
+}
+
+std::vector<EndpointId> EndpointTable::not_serving() const {
+    std::vector<EndpointId> ids;
+    for (const auto& [id, endpoint] : endpoints_)
+        if (!endpoint.listed || endpoint.state != EndpointState::serving) ids.push_back(id);
+    return ids;
+}
+
+void EndpointTable::remove_if_unused(EndpointId id) {
+    const auto at = endpoints_.find(id);
+    if (at == endpoints_.end() || at->second.listed || at->second.in_flight > 0) return;
+    ids_.erase(at->second.name);
+    endpoints_.erase(at);
+}
+
+EndpointList EndpointTable::list() const {
+    EndpointList list;
+    list.complete = true;
+    for (const auto& [id, endpoint] : endpoints_)
+        if (endpoint.listed)
+            list.endpoints.push_back({endpoint.name, endpoint.address, endpoint.zone, endpoint.cell,
+                                      endpoint.state, endpoint.started_at, endpoint.capacity_weight});
+    return list;
+}
+
+EndpointFacts EndpointTable::facts(EndpointId id) const {
+    const UpstreamEndpoint* endpoint = find(id);
+    if (!endpoint) return {};
+    return {endpoint->listed && endpoint->state == EndpointState::serving, zones_.number(endpoint->zone),
+            endpoint->cell};
+}
+
+replication::EndpointKey EndpointTable::key_of(const ListedEndpoint& listed) const {
+    const auto known = find_id(listed.name);
+    const EndpointId id = known ? *known : endpoint_id(listed.name, [](EndpointId) { return false; });
+    return endpoint_key(id, listed.started_at);
+}
+
+std::unordered_map<replication::EndpointKey, EndpointId> EndpointTable::ids_by_key() const {
+    std::unordered_map<replication::EndpointKey, EndpointId> ids;
+    for (const auto& [id, endpoint] : endpoints_)
+        if (endpoint.listed) ids.emplace(endpoint_key(id, endpoint.started_at), id);
+    return ids;
+}
+
+}  // namespace ochregrade::sidecar
--- /dev/null
+++ b/src/proxy/endpoint_table.hpp
@@ -0,0 +1,74 @@
+// The endpoints that the sidecar knows, by id: those that discovery lists, and those no longer listed while
+// attempts or probes are in flight at them. No sockets.
+#pragma once
+
+#include <map>
+#include <optional>
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+#include "common/clock.hpp"
+#include "common/http.hpp"
+#include "control/config.hpp"
+#include "discovery/start_times.hpp"
+#include "ochregrade/balancer.hpp"
+#include "proxy/rule_guard.hpp"
+#include "proxy/zones.hpp"
+#include "replication/records.hpp"
+
+namespace ochregrade::sidecar {
+
+struct UpstreamEndpoint {
+    std::string name;
+    tcp::endpoint address;
+    EndpointState state = EndpointState::serving;
+    Millis started_at = 0;        // Unix milliseconds, as discovery reports it; identifies the start
+    Millis started_at_clock = 0;  // the same by the sidecar's clock
+    std::string zone;
+    std::uint32_t cell = 0;
+    double capacity_weight = 1;
+    bool listed = false;
+    std::uint32_t in_flight = 0;  // attempts and probes
+};
+
+class EndpointTable {
+public:
+    EndpointTable(const Clock& clock, Zones& zones) : clock_(clock), zones_(zones) {}
+
+    /// The endpoint; null if there is none.
+    UpstreamEndpoint* find(EndpointId id);
+    const UpstreamEndpoint* find(EndpointId id) const;
+    std::optional<EndpointId> find_id(const std::string& name) const;
+    std::size_t size() const { return endpoints_.size(); }
+
+    struct Changes {
+        std::vector<Endpoint> updates;  // for the balancer, in the list's order
+        std::vector<EndpointId> moved;  // to another process or address
+    };
+    /// Takes over a list from discovery.
+    Changes update(const EndpointList& list);
+    /// Those to which nothing new may be sent: draining or not listed.
+    std::vector<EndpointId> not_serving() const;
+    /// Removes the endpoint if it is neither listed nor in use.
+    void remove_if_unused(EndpointId id);
+
+    /// All listed endpoints.
+    EndpointList list() const;
+    /// What the rule guard needs to know of the endpoint now.
+    EndpointFacts facts(EndpointId id) const;
+    /// The key of an endpoint's start in evidence shared between sidecars.
+    replication::EndpointKey key_of(const ListedEndpoint& listed) const;
+    std::unordered_map<replication::EndpointKey, EndpointId> ids_by_key() const;
+
+private:
+    EndpointId find_or_add(const std::string& name);
+
+    const Clock& clock_;
+    Zones& zones_;
+    StartTimes start_times_;
+    std::unordered_map<std::string, EndpointId> ids_;
+    std::map<EndpointId, UpstreamEndpoint> endpoints_;
+};
+
+}  // namespace ochregrade::sidecar
--- a/src/proxy/listener.hpp
+++ b/src/proxy/listener.hpp
@@ -1,87 +1,76 @@
-// Clients' connections: reads requests, hands them to the sidecar and writes the answers.
+// Accepts clients' connections, bounds their number, and enforces the deadlines of their sessions
+// (client_session.hpp). Keeps new connections in the kernel's queue while there is no place or descriptor.
 #pragma once
 
 #include <functional>
-#include <list>
 #include <memory>
-#include <string>
-#include <unordered_set>
 
 #include "common/http.hpp"
 #include "proxy/balancer_driver.hpp"
 #include "proxy/close_reason.hpp"
+#include "proxy/listener_context.hpp"
 #include "proxy/unread_time.hpp"
 
 namespace ochregrade::sidecar {
 
 class Listener {
 public:
-    struct Limits {
-        std::size_t connections = 400;
-        std::size_t body_bytes = 16 << 20;  // of all requests held at a time
-    };
-    Listener(asio::io_context& io, const Clock& clock, BalancerDriver& sidecar, Limits limits);
+    using Limits = ListenerLimits;
+    Listener(asio::io_context& io, const Clock& clock, BalancerDriver& driver, Limits limits);
     ~Listener();
 
-    void listen(const tcp::endpoint& at);  // throws if it can't
+    /// Throws ConfigError if the address is taken, boost::system::system_error on other errors.
+    void listen(const tcp::endpoint& address);
     tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
-    void open_for_use() { ready_ = true; }  // /healthz answers 200 from here on, once a list is held
+    /// From now on /healthz answers 200 while there is an endpoint list.
+    void open_for_use() { context_.ready_for_use = true; }
 
-    // Lowered below what is in use, nothing is cut: idle connections go, and no new ones are taken.
-    void set_limits(const Limits& limits) { limits_ = limits, accept(); }
-    // A request that does not fit the configuration it began with.
+    /// Limits below what is in use end no request: idle connections are closed and no new ones are accepted.
+    void set_limits(const Limits& limits) {
+        context_.limits = limits;
+        accept();
+    }
+    /// Called with a request that is invalid by the configuration that it began with.
     std::function<void(const ConfigSnapshotPtr&, const HttpRequest&)> on_invalid_request;
 
-    // From now on each answer closes its connection, and idle ones are closed; new ones are still taken.
-    // What comes has until then at the longest.
-    void drain(Millis latest);
-    // Requests that have not come whole are answered so: the end is near.
+    /// From now on each response closes its connection, and idle connections are closed; new ones are still
+    /// accepted. Requests that arrive from now on end by `deadline` (Clock milliseconds).
+    void drain(Millis deadline);
+    /// Answers requests that have not arrived completely with 408.
     void reject_incomplete();
-    // Connections with nothing on them: no request here, none in the kernel.
+    /// Closes the connections that have no request, neither here nor in the kernel.
     void close_idle();
-    // No new ones either. What waits in the kernel is taken first; false: there was no descriptor for it, and
-    // it is to be asked again.
+    /// Accepts what waits in the kernel's queue, then closes the listening socket. False if connections are
+    /// left in the queue, for want of a descriptor; to be called again then.
     bool stop_accepting();
-    // Connections with a request being read, served or answered.
-    bool busy() const;
-    std::size_t connections() const { return sessions_.size(); }
-    const CloseCounts& closes() const { return closes_; }
-    bool reading() const;    // part of a request has come
-    void check_deadlines();  // at all time limits, as it does of itself every 50 ms
+    /// Whether there are connections.
+    bool busy() const { return !context_.sessions.empty(); }
+    std::size_t connections() const { return context_.sessions.size(); }
+    const CloseCounts& closes() const { return context_.closes; }
+    /// Whether a request has arrived in part.
+    bool reading() const;
+    /// Applies all sessions' deadlines; also runs by itself every 50 ms.
+    void check_deadlines();
 
 private:
-    class Session;
-    using Sessions = std::list<std::shared_ptr<Session>>;
-
-    void open_acceptor(const tcp::endpoint& at);
+    void open_acceptor(const tcp::endpoint& address);
     void accept();
-    bool make_room();
-    Millis waited_for_accept(tcp::socket& socket);
-    Millis waited_for_loop();
+    void on_accepted(error_code ec, tcp::socket socket);
+    void pause_accepting(error_code shortage);
     void admit(tcp::socket socket);
-    bool empty_queue();  // into sessions; false: there is or may be more in it
-    void closed(Session& session);
-    void sweep();
-    bool crowded() const { return sessions_.size() * 8 > limits_.connections * 7; }
-    bool ready() const { return ready_ && !draining_ && sidecar_.has_endpoints(); }
+    bool evict_session();
+    bool drain_accept_queue();
+    Millis waited_for_accept(tcp::socket& socket);
+    void schedule_deadline_check();
 
     asio::io_context& io_;
-    const Clock& clock_;
-    BalancerDriver& sidecar_;
-    Limits limits_;
+    ListenerContext context_;
     tcp::acceptor acceptor_;
-    asio::steady_timer retry_, sweep_;
-    Sessions sessions_;                     // those quiet longest come first
-    std::unordered_set<std::string> open_;  // ids of the requests that await their answer
-    CloseCounts closes_{};
-    std::size_t body_bytes_ = 0;  // claimed by requests held
-    UnreadTime loop_backlog_, accept_backlog_;
-    Millis sweep_due_ = 0;
-    Millis latest_ = 0;
-    bool ready_ = false;
-    bool draining_ = false;
-    bool accepting_ = false;
-    bool paused_ = false;  // out of descriptors
+    asio::steady_timer accept_retry_timer_;
+    asio::steady_timer deadline_timer_;
+    UnreadTime accept_delay_;
+    bool accepting_ = false;  // an accept is pending, or must not be started now
+    bool paused_ = false;     // for want of descriptors
     bool stopped_ = false;
 };
 
--- /dev/null
+++ b/src/proxy/listener_context.hpp
@@ -0,0 +1,80 @@
+// What the client sessions of one listener share with each other and with it: limits, the sessions
+// themselves, the ids of requests being served, the memory for bodies, and the state of a drain.
+#pragma once
+
+#include <algorithm>
+#include <functional>
+#include <list>
+#include <memory>
+#include <string>
+#include <unordered_set>
+
+#include "common/clock.hpp"
+#include "control/config_versions.hpp"
+#include "proxy/balancer_driver.hpp"
+#include "proxy/close_reason.hpp"
+#include "proxy/unread_time.hpp"
+
+namespace ochregrade::sidecar {
+
+class ClientSession;
+using SessionList = std::list<std::shared_ptr<ClientSession>>;
+
+struct ListenerLimits {
+    std::size_t connections = 400;
+    std::size_t body_bytes = 16 << 20;  // bodies and pipelined bytes of all requests together
+};
+
+/// How late the event loop is. Updated by the listener's periodic check of deadlines.
+class LoopDelay {
+public:
+    /// The next periodic check is due at `at`.
+    void expect_check(Millis at) { next_check_ = at; }
+    /// The check that was due has run at `now`.
+    void check_ran(Millis now) {
+        if (now <= next_check_ + kTolerance) return;
+        unread_.blocked(next_check_);
+        unread_.resumed(now);
+    }
+    /// How long bytes that are read now may have waited because the loop did not run, milliseconds.
+    Millis waited(Millis now) {
+        const Millis late = now - next_check_;
+        return std::max(unread_.waited(now), late > kTolerance ? late : 0);
+    }
+
+private:
+    // A check that is later than this means that the loop did not run.
+    static constexpr Millis kTolerance = 20;
+    UnreadTime unread_;
+    Millis next_check_ = 0;
+};
+
+/// Owned by the Listener, which outlives its sessions' handlers.
+struct ListenerContext {
+    const Clock& clock;
+    BalancerDriver& driver;
+    ListenerLimits limits;
+    std::function<void()> accept_next;  // there may be a free place for a waiting connection
+    std::function<void(const ConfigSnapshotPtr&, const HttpRequest&)> report_invalid_request;
+
+    SessionList sessions{};  // least recently used first
+    std::unordered_set<std::string> open_request_ids{};
+    CloseCounts closes{};
+    std::size_t body_bytes = 0;  // reserved by all sessions
+    LoopDelay loop_delay{};
+    bool ready_for_use = false;
+    bool draining = false;
+    Millis drain_deadline = 0;  // of requests that arrive while draining
+
+    /// So many sessions that no connection is kept open after its response.
+    bool nearly_full() const { return sessions.size() * 8 > limits.connections * 7; }
+    /// What /healthz answers.
+    bool ready() const { return ready_for_use && !draining && driver.has_endpoints(); }
+    Millis loop_waited() { return loop_delay.waited(clock.now()); }
+    void remove(SessionList::iterator position) {
+        sessions.erase(position);
+        accept_next();
+    }
+};
+
+}  // namespace ochregrade::sidecar
--- a/src/proxy/pipelined_requests.cpp
+++ b/src/proxy/pipelined_requests.cpp
@@ -8,7 +8,7 @@
 namespace ochregrade::sidecar {
 
 std::vector<Millis> deadlines_of_complete_requests(asio::const_buffer bytes) {
-    std::vector<Millis> times;
+    std::vector<Millis> times_left;
     while (bytes.size() > 0) {
         http::request_parser<http::empty_body> parser;
         parser.eager(false);
@@ -17,18 +17,19 @@
         error_code ec;
         bytes += parser.put(bytes, ec);
         if (ec || !parser.is_header_done() || parser.chunked()) break;
-        const std::size_t body = parser.content_length().value_or(0);
-        if (bytes.size() < body) break;
-        bytes += body;
-        const auto time = parse_time_left(parser.get()["X-Time-Left"]);
-        times.push_back(time.value_or(std::numeric_limits<Millis>::infinity()));
+        const std::size_t body_size = parser.content_length().value_or(0);
+        if (bytes.size() < body_size) break;
+        bytes += body_size;
+        const auto time_left = parse_time_left(parser.get()["X-Time-Left"]);
+        times_left.push_back(time_left.value_or(std::numeric_limits<Millis>::infinity()));
     }
-    return times;
+    return times_left;
 }
 
-void PipelinedRequests::update(asio::const_buffer bytes, Millis arrived) {
-    const std::vector<Millis> times = deadlines_of_complete_requests(bytes);
-    for (std::size_t i = deadlines_.size(); i < times.size(); ++i) deadlines_.push_back(arrived + times[i]);
+void PipelinedRequests::update(asio::const_buffer bytes, Millis arrived_at) {
+    const std::vector<Millis> times_left = deadlines_of_complete_requests(bytes);
+    for (std::size_t i = deadlines_.size(); i < times_left.size(); ++i)
+        deadlines_.push_back(arrived_at + times_left[i]);
 }
 
 void PipelinedRequests::begin_next() {
--- a/src/proxy/pipelined_requests.hpp
+++ b/src/proxy/pipelined_requests.hpp
@@ -1,5 +1,6 @@
-// Whole requests that a client has sent ahead of their turn on a connection, and when the time of each is
-// over. HTTP/1.1 gives answers in the order of the requests, so the one under way holds up all of them.
+// The complete requests that a client has sent ahead on a connection (HTTP/1.1 pipelining), and their
+// deadlines. Responses are sent in the order of the requests (RFC 9112, 9.3.2), so the request being served
+// delays all of them.
 #pragma once
 
 #include <deque>
@@ -11,19 +12,20 @@
 
 namespace ochregrade::sidecar {
 
-// X-Time-Left of each whole request in `bytes`, milliseconds, in their order; infinite where it has none that
-// can be read. What follows a chunked request is not looked at.
+/// X-Time-Left of each complete request in `bytes`, milliseconds, in their order; infinite for a request that
+/// has no valid one. Stops at a chunked request.
 std::vector<Millis> deadlines_of_complete_requests(asio::const_buffer bytes);
 
 class PipelinedRequests {
 public:
-    // `bytes` is all that is ahead. Requests that were not whole before have arrived at `arrived`.
-    void update(asio::const_buffer bytes, Millis arrived);
-    // The first of them is under way now.
+    /// `bytes` is all that was received ahead. Requests that were not complete before arrived at
+    /// `arrived_at`.
+    void update(asio::const_buffer bytes, Millis arrived_at);
+    /// The first of them is being served now.
     void begin_next();
     void clear() { deadlines_.clear(); }
 
-    // When the first of their times is over; none where there is none.
+    /// The earliest deadline; none if there is no request with a deadline.
     std::optional<Millis> first_deadline() const;
 
 private:
--- a/src/proxy/request_validation.cpp
+++ b/src/proxy/request_validation.cpp
@@ -8,33 +8,74 @@
 
 namespace {
 
-bool given_once(const HttpRequest& request, const char* name) {
-    return request.count(name) == 1 && !request[name].empty();
+struct ParsedNumber {
+    double value = 0;
+    const char* end = nullptr;  // the first character after the number
+};
+
+// A finite number, not negative, at the start of the text.
+std::optional<ParsedNumber> parse_number(beast::string_view text) {
+    ParsedNumber number;
+    const auto parsed = std::from_chars(text.data(), text.data() + text.size(), number.value);
+    number.end = parsed.ptr;
+    const bool valid = parsed.ec == std::errc() && std::isfinite(number.value) && number.value >= 0 &&
+                       !std::signbit(number.value);
+    if (!valid) return {};
+    return number;
 }
 
-// A finite amount, not below zero, up to the first character that is not part of it.
-std::optional<std::pair<double, const char*>> parse_amount(beast::string_view text) {
-    double value = 0;
-    const auto parsed = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (parsed.ec != std::errc() || !std::isfinite(value) || value < 0 || std::signbit(value)) return {};
-    return std::pair{value, parsed.ptr};
+bool is_given_once(const HttpRequest& request, const char* name) {
+    return request.count(name) == 1 && !request[name].empty();
 }
 
-bool graphic(beast::string_view text) {
+// Visible ASCII characters only.
+bool is_graphic(beast::string_view text) {
     return std::all_of(text.begin(), text.end(), [](char c) { return c > 0x20 && c < 0x7f; });
 }
 
+bool has_required_headers(const HttpRequest& request) {
+    return is_given_once(request, "Host") && is_given_once(request, "X-Correlation-Id") &&
+           is_given_once(request, "X-Service-Class") && is_given_once(request, "X-Time-Left") &&
+           is_graphic(request["X-Correlation-Id"]) && parse_time_left(request["X-Time-Left"]);
+}
+
+bool has_valid_weight_hint(const HttpRequest& request) {
+    if (request.count("X-Weight-Hint") == 0) return true;
+    const auto hint = request["X-Weight-Hint"];
+    const auto number = parse_number(hint);
+    return number && number->end == hint.data() + hint.size();
+}
+
+bool has_body(const HttpRequest& request) {
+    const bool framed =
+        request.count(http::field::transfer_encoding) > 0 || request.count(http::field::content_length) > 0;
+    return framed && request[http::field::content_length] != "0";
+}
+
+bool has_valid_key(const HttpRequest& request, Idempotency idempotency) {
+    if (idempotency == Idempotency::idempotent_with_key) return is_given_once(request, "Idempotency-Key");
+    return request.count("Idempotency-Key") == 0;
+}
+
+// The first segment of the path is the class.
+bool has_valid_path(const HttpRequest& request, const std::string& class_name) {
+    auto path = request.target();
+    if (!is_graphic(path) || path.empty() || path.front() != '/') return false;
+    path = path.substr(1, path.find_first_of("/?#", 1) - 1);
+    return path == class_name;
+}
+
 }  // namespace
 
 std::optional<Millis> parse_time_left(beast::string_view text) {
-    const auto amount = parse_amount(text);
-    if (!amount || amount->second + 1 != text.data() + text.size()) return {};
-    if (*amount->second == 'm') return amount->first;
-    if (*amount->second == 'u') return amount->first / 1000;
+    const auto number = parse_number(text);
+    if (!number || number->end + 1 != text.data() + text.size()) return {};
+    if (*number->end == 'm') return number->value;
+    if (*number->end == 'u') return number->value / 1000;
     return {};
 }
 
-std::optional<http::status> framing_fault(const HttpRequest& request) {
+std::optional<http::status> framing_error(const HttpRequest& request) {
     if (request.version() != 11) return http::status::http_version_not_supported;
     const auto coding = request[http::field::transfer_encoding];
     const auto length = request[http::field::content_length];
@@ -42,43 +83,25 @@
     const auto lengths = request.count(http::field::content_length);
     if (codings + lengths > 1) return http::status::bad_request;
     if (codings == 1 && !beast::iequals(coding, "chunked")) return http::status::bad_request;
-    // Beast also takes a list of equal lengths.
+    // Beast also accepts a list of equal lengths.
     if (!std::all_of(length.begin(), length.end(), [](char c) { return c >= '0' && c <= '9'; }))
         return http::status::bad_request;
     return {};
 }
 
-std::optional<http::status> form_fault(const HttpRequest& request, const Config& config) {
-    if (request.method() != http::verb::get && request.method() != http::verb::post)
-        return http::status::method_not_allowed;
-    if (!given_once(request, "Host") || !given_once(request, "X-Correlation-Id") ||
-        !given_once(request, "X-Service-Class") || !given_once(request, "X-Time-Left") ||
-        !graphic(request["X-Correlation-Id"]) || !parse_time_left(request["X-Time-Left"]))
-        return http::status::bad_request;
-    if (const auto hint = request["X-Weight-Hint"]; request.count("X-Weight-Hint") > 0) {
-        const auto amount = parse_amount(hint);
-        if (!amount || amount->second != hint.data() + hint.size()) return http::status::bad_request;
-    }
+std::optional<http::status> request_error(const HttpRequest& request, const Config& config) {
+    const bool is_get = request.method() == http::verb::get;
+    if (!is_get && request.method() != http::verb::post) return http::status::method_not_allowed;
+    if (!has_required_headers(request) || !has_valid_weight_hint(request)) return http::status::bad_request;
     const auto& names = config.classes;
     const auto name = std::find(names.begin(), names.end(), request["X-Service-Class"]);
     if (name == names.end()) return http::status::bad_request;
-    const Idempotency effect =
-        config.settings.classes[static_cast<std::size_t>(name - names.begin())].idempotency;
-    const bool get = request.method() == http::verb::get;
-    if (get != (effect == Idempotency::idempotent)) return http::status::method_not_allowed;
-    if (get &&
-        (request.count(http::field::transfer_encoding) > 0 ||
-         request.count(http::field::content_length) > 0) &&
-        request[http::field::content_length] != "0")
-        return http::status::bad_request;
-    if (effect == Idempotency::idempotent_with_key ? !given_once(request, "Idempotency-Key")
-                                                   : request.count("Idempotency-Key") > 0)
-        return http::status::bad_request;
-    // The first part of the path is the class.
-    auto path = request.target();
-    if (!graphic(path) || path.empty() || path.front() != '/') return http::status::bad_request;
-    path = path.substr(1, path.find_first_of("/?#", 1) - 1);
-    if (path != *name) return http::status::bad_request;
+    const auto class_index = static_cast<std::size_t>(name - names.begin());
+    const Idempotency idempotency = config.settings.classes[class_index].idempotency;
+    if (is_get != (idempotency == Idempotency::idempotent)) return http::status::method_not_allowed;
+    if (is_get && has_body(request)) return http::status::bad_request;
+    if (!has_valid_key(request, idempotency)) return http::status::bad_request;
+    if (!has_valid_path(request, *name)) return http::status::bad_request;
     return {};
 }
 
--- a/src/proxy/request_validation.hpp
+++ b/src/proxy/request_validation.hpp
@@ -1,5 +1,5 @@
-// What a request must look like to be passed on: the protocol's form and nothing else. What is refused here
-// reaches neither the module nor a server.
+// Validation of clients' requests before they are accepted: the protocol's rules on framing and headers, by
+// the configuration's request classes. An invalid request reaches neither the balancer nor an endpoint.
 #pragma once
 
 #include <optional>
@@ -9,14 +9,20 @@
 
 namespace ochregrade::sidecar {
 
-// "480m" or "480000u"; nothing else.
+/// Milliseconds of an X-Time-Left value: "480m" (milliseconds) or "480000u" (microseconds), nothing else.
 std::optional<Millis> parse_time_left(beast::string_view text);
 
-// A head whose body may be seen otherwise by a server than here: it could hide a second request. The
-// connection is of no use after it.
-std::optional<http::status> framing_fault(const HttpRequest& request);
+/// The status to answer with if an upstream server could delimit the request's body differently (request
+/// smuggling); none if the framing is valid. The connection must be closed after such a request.
+std::optional<http::status> framing_error(const HttpRequest& request);
 
-// Method, path, key and figures that don't fit the class, or no class at all.
-std::optional<http::status> form_fault(const HttpRequest& request, const Config& config);
+/// The status to answer with if method, path, headers or idempotency key do not fit the request's class, or
+/// the class is unknown; none if the request is valid.
+std::optional<http::status> request_error(const HttpRequest& request, const Config& config);
+
+/// The former name of request_error().
+inline std::optional<http::status> form_fault(const HttpRequest& request, const Config& config) {
+    return request_error(request, config);
+}
 
 }  // namespace ochregrade::sidecar
--- a/src/proxy/rule_guard.cpp
+++ b/src/proxy/rule_guard.cpp
@@ -16,14 +16,14 @@
 constexpr std::array<std::string_view, static_cast<std::size_t>(Violation::count)> kViolationNames = {
     "repeat", "closed_unanswered", "answered_late", "refused_after_run", "time_overstated", "unready_start"};
 
-bool in_scope(const RequestClass& kind, const AttemptFacts& earlier, const EndpointFacts& server) {
+bool is_in_dedup_scope(const RequestClass& kind, const AttemptFacts& earlier, const EndpointFacts& endpoint) {
     switch (kind.dedup_scope) {
         case DedupScope::all:
             return true;
         case DedupScope::zone:
-            return earlier.zone == server.zone;
+            return earlier.zone == endpoint.zone;
         case DedupScope::cell:
-            return earlier.cell == server.cell;
+            return earlier.cell == endpoint.cell;
     }
     return false;
 }
@@ -43,11 +43,11 @@
 }
 
 std::optional<Withheld> RuleGuard::find_reason(const RequestFacts& request, std::size_t number,
-                                               const EndpointFacts& server, Millis now) const {
+                                               const EndpointFacts& endpoint, Millis now) const {
     if (request.client_disconnected) return Withheld::client_disconnected;
     if (request.answered) return Withheld::answered;
     if (now >= request.deadline) return Withheld::deadline_passed;
-    if (!server.serving) return Withheld::server_not_serving;
+    if (!endpoint.serving) return Withheld::server_not_serving;
     if (number >= request.max_attempts) return Withheld::attempts_exhausted;
     for (std::size_t i = 0; i < request.attempts.size(); ++i) {
         const AttemptFacts& earlier = request.attempts[i];
@@ -56,14 +56,14 @@
         if (earlier.in_flight && !request.hedging_allowed) return Withheld::attempt_in_flight;
         if (request.kind.idempotency != Idempotency::idempotent_with_key) continue;
         if (now >= earlier.sent_at + request.kind.dedup_window) return Withheld::key_window_over;
-        if (!in_scope(request.kind, earlier, server)) return Withheld::key_out_of_scope;
+        if (!is_in_dedup_scope(request.kind, earlier, endpoint)) return Withheld::key_out_of_scope;
     }
     return {};
 }
 
 std::optional<Withheld> RuleGuard::check_send(const RequestFacts& request, std::size_t number,
-                                              const EndpointFacts& server, Millis now) {
-    const auto reason = find_reason(request, number, server, now);
+                                              const EndpointFacts& endpoint, Millis now) {
+    const auto reason = find_reason(request, number, endpoint, now);
     if (!reason) return {};
     ++counts_.withheld[static_cast<std::size_t>(*reason)];
     if (is_violation(*reason)) violated(Violation::repeat);
@@ -72,11 +72,11 @@
 
 bool RuleGuard::check_rejection(const RequestFacts& request, Millis now) {
     if (request.kind.idempotency == Idempotency::idempotent) return true;
-    const bool keyed = request.kind.idempotency == Idempotency::idempotent_with_key &&
-                       request.kind.dedup_scope == DedupScope::all;
+    const bool deduplicated_everywhere = request.kind.idempotency == Idempotency::idempotent_with_key &&
+                                         request.kind.dedup_scope == DedupScope::all;
     for (const AttemptFacts& attempt : request.attempts) {
         if (!may_have_run(attempt)) continue;
-        if (keyed && now < attempt.sent_at + request.kind.dedup_window) continue;
+        if (deduplicated_everywhere && now < attempt.sent_at + request.kind.dedup_window) continue;
         violated(Violation::rejected_after_run);
         return false;
     }
@@ -87,16 +87,16 @@
     if (now > deadline + kAnswerGrace) violated(Violation::answered_late);
 }
 
-void RuleGuard::check_propagated_deadline(Millis told, Millis left) {
-    if (told > left + kTimeSlack) violated(Violation::deadline_overstated);
+void RuleGuard::check_propagated_deadline(Millis propagated, Millis deadline) {
+    if (propagated > deadline + kDeadlineSlack) violated(Violation::deadline_overstated);
 }
 
-void RuleGuard::check_close(bool owed, bool client_left) {
-    if (owed && !client_left) violated(Violation::closed_unanswered);
+void RuleGuard::check_close(bool unanswered, bool client_disconnected) {
+    if (unanswered && !client_disconnected) violated(Violation::closed_unanswered);
 }
 
-void RuleGuard::check_ready(bool holds_list) {
-    if (!holds_list) violated(Violation::unready_start);
+void RuleGuard::check_ready(bool has_endpoints) {
+    if (!has_endpoints) violated(Violation::unready_start);
 }
 
 void RuleGuard::violated(Violation violation) {
--- a/src/proxy/rule_guard.hpp
+++ b/src/proxy/rule_guard.hpp
@@ -1,7 +1,7 @@
-// The last check before an action that a rule of the protocol may forbid: sending, repeating, closing,
-// starting and answering. It judges by facts that the caller hands it at that moment, not by the state that
-// led to the decision. So an event that came between a decision and its execution is caught here, and a wrong
-// decision shows as a counted violation in place of a broken rule. No sockets and no clock.
+// The last check before an action that a rule of the protocol may forbid: a send, a retry, a close, an
+// answer, or reporting ready. It decides by facts that the caller passes at that moment, not by the state
+// that led to the decision. So an event between a decision and its execution is caught here, and a wrong
+// decision shows as a counted violation instead of a broken rule (docs/RULES.md). No sockets and no clock.
 #pragma once
 
 #include <array>
@@ -15,15 +15,15 @@
 
 namespace ochregrade::sidecar {
 
-// Why an attempt is not written.
+/// Why an attempt is withheld: not written to its endpoint.
 enum class Withheld : std::size_t {
-    // Something happened since the decision; nothing is wrong.
+    // Something happened since the decision; no rule would have been broken by the decision itself.
     client_disconnected,
     answered,
     deadline_passed,
     server_not_serving,
     key_window_over,
-    // The decision itself would have broken a rule: counted as violations too.
+    // The decision itself would have broken a rule: also counted as a violation.
     may_have_run,
     key_out_of_scope,
     attempts_exhausted,
@@ -31,34 +31,36 @@
     count
 };
 
-// A rule that was broken, or would have been but for this guard.
+/// A rule that was broken, or would have been without this guard.
 enum class Violation : std::size_t {
     repeat,               // an attempt that might have run a request twice (`duplicate`)
-    closed_unanswered,    // a request was read and its connection closed here with no answer (`lost`)
-    answered_late,        // the final answer came over half a second after the client's deadline (`lost`)
-    rejected_after_run,   // a refusal of what may have run
-    deadline_overstated,  // a server was told more time than the client has left, by over 0.15 s
-    unready_start,        // reported ready without a list of servers
+    closed_unanswered,    // a request was read and its connection closed here without an answer (`lost`)
+    answered_late,        // the final answer came later than kAnswerGrace after the deadline (`lost`)
+    rejected_after_run,   // a rejection of a request that may have run
+    deadline_overstated,  // the deadline sent to an endpoint exceeds the client's by more than kDeadlineSlack
+    unready_start,        // reported ready without an endpoint list
     count
 };
 
+/// The labels in /metrics and the trace.
 std::string_view to_string(Withheld reason);
 std::string_view to_string(Violation violation);
+/// Whether the decision to send was itself wrong.
 bool is_violation(Withheld reason);
 
-// One attempt of a request as far as it bears on the next one.
+/// One attempt of a request, as far as it matters for the next one.
 struct AttemptFacts {
     EndpointId endpoint = 0;
     ZoneId zone = 0;
     std::uint32_t cell = 0;
-    Millis sent_at = 0;  // when it was decided on, before any byte went out
+    Millis sent_at = 0;  // when the decision was made, before any byte was written
     bool in_flight = true;
-    bool may_have_run = false;  // known once it has ended; one in flight counts as one that may
+    bool may_have_run = false;  // known when it has ended; an attempt in flight may always have run
 };
 
 struct RequestFacts {
     RequestClass kind;
-    Millis deadline = 0;  // the client's, from the moment its last byte was read
+    Millis deadline = 0;  // the client's, counted from when the last byte was read
     std::uint32_t max_attempts = 0;
     bool hedging_allowed = false;
     bool client_disconnected = false;
@@ -74,9 +76,9 @@
 
 class RuleGuard {
 public:
-    // Limits of the protocol, milliseconds.
+    /// Limits of the protocol, milliseconds.
     static constexpr Millis kAnswerGrace = 500;
-    static constexpr Millis kTimeSlack = 150;
+    static constexpr Millis kDeadlineSlack = 150;
 
     struct Counts {
         std::array<std::uint64_t, static_cast<std::size_t>(Withheld::count)> withheld{};
@@ -84,23 +86,25 @@
         std::uint64_t all_violations() const;
     };
 
-    // Whether attempt `number` of the request may be written to this server now; nothing if it may.
+    /// Why attempt `number` of the request may not be written to this endpoint now; none if it may.
     std::optional<Withheld> check_send(const RequestFacts& request, std::size_t number,
-                                       const EndpointFacts& server, Millis now);
-    // Whether the request may be answered by a refusal, which promises that it has not run.
+                                       const EndpointFacts& endpoint, Millis now);
+    /// Whether the request may be rejected, which promises the client that it has not run.
     bool check_rejection(const RequestFacts& request, Millis now);
+    /// A final answer is about to be written.
     void check_answer(Millis deadline, Millis now);
-    void check_propagated_deadline(Millis told, Millis left);
-    // A client's connection is closed here: `owed` is a request that was read and has no answer.
-    void check_close(bool owed, bool client_left);
-    // /healthz is about to say that this process is ready.
-    void check_ready(bool holds_list);
+    /// An attempt is about to tell its endpoint the deadline `propagated`; `deadline` is the client's.
+    void check_propagated_deadline(Millis propagated, Millis deadline);
+    /// A client's connection is about to be closed; `unanswered`: a request was read and has no answer yet.
+    void check_close(bool unanswered, bool client_disconnected);
+    /// /healthz is about to report ready.
+    void check_ready(bool has_endpoints);
 
     const Counts& counts() const { return counts_; }
 
 private:
     std::optional<Withheld> find_reason(const RequestFacts& request, std::size_t number,
-                                        const EndpointFacts& server, Millis now) const;
+                                        const EndpointFacts& endpoint, Millis now) const;
     void violated(Violation violation);
 
     Counts counts_;
--- /dev/null
+++ b/src/proxy/upstream_connection.cpp
@@ -0,0 +1,250 @@
+#include "proxy/upstream_connection.hpp"
+
+#include <algorithm>
+
+#include "common/log.hpp"
+#include "common/socket_io.hpp"
+
+namespace ochregrade::sidecar {
+
+namespace {
+
+constexpr std::size_t kReadSize = 4096;
+constexpr int kMaxInterimResponses = 16;
+// What the kernel holds unread counts as memory, and an endless response fills it at once.
+constexpr int kUpstreamReceiveBuffer = 64 * 1024;
+
+// Subtracted from the time that an endpoint is told, at most this share of it.
+constexpr Millis kDeadlineMargin = 25;
+constexpr double kDeadlineMarginShare = 0.1;
+
+// How often connecting is retried after an error of this machine: for 0.1 s.
+constexpr int kMaxConnectRetries = 10;
+constexpr std::chrono::milliseconds kConnectRetryInterval{10};
+
+// Errors of connect and socket that are this machine's: no port, buffer, descriptor or route, a local
+// firewall, or a signal.
+bool is_local_error(error_code ec) {
+    constexpr int kLocalErrors[] = {EADDRNOTAVAIL, EADDRINUSE,  EAGAIN,   ENOBUFS, ENOMEM, EMFILE,
+                                    ENFILE,        ENETUNREACH, ENETDOWN, EPERM,   EACCES, EINTR};
+    return ec.category() == boost::system::system_category() &&
+           std::find(std::begin(kLocalErrors), std::end(kLocalErrors), ec.value()) != std::end(kLocalErrors);
+}
+
+Outcome outcome_of(const HttpResponse& response) {
+    const unsigned status = response.result_int();
+    if (status == 200) return Outcome::success;
+    const bool not_processed = response["X-Unprocessed"] == "1";
+    return (status == 503 || status == 504) && not_processed ? Outcome::overloaded : Outcome::server_error;
+}
+
+}  // namespace
+
+UpstreamConnection::UpstreamConnection(asio::io_context& io, const Clock& clock, Owner& owner,
+                                       EndpointId endpoint, const tcp::endpoint& address,
+                                       std::shared_ptr<ConnectionGroup> group)
+    : clock_(clock),
+      owner_(owner),
+      endpoint_(endpoint),
+      address_(address),
+      group_(std::move(group)),
+      socket_(io),
+      timer_(io),
+      connect_retry_timer_(io) {}
+
+void UpstreamConnection::set_exchange(std::unique_ptr<Exchange> exchange) {
+    exchange_ = std::move(exchange);
+    if (exchange_->is_probe) start_probe_timer();
+}
+
+std::unique_ptr<Exchange> UpstreamConnection::release_exchange() {
+    std::unique_ptr<Exchange> exchange = std::move(exchange_);
+    timer_.cancel();
+    return exchange;
+}
+
+void UpstreamConnection::start_probe_timer() {
+    timer_.expires_at(clock_.point(exchange_->deadline));
+    timer_.async_wait([this, self = shared_from_this()](error_code ec) {
+        if (ec || !exchange_ || !exchange_->is_probe || state_ == State::closed) return;
+        end(state_ == State::connecting ? Outcome::connect_failure : Outcome::timeout);
+    });
+}
+
+// ---- Connecting
+
+void UpstreamConnection::connect() {
+    if (!exchange_->is_probe) start_connect_timer();
+    open_socket();
+}
+
+void UpstreamConnection::start_connect_timer() {
+    const Millis give_up = std::min(clock_.now() + exchange_->connect_timeout, exchange_->deadline);
+    // A connect that was given less than its timeout shows nothing about the endpoint.
+    const Outcome outcome =
+        exchange_->write_deadline < give_up ? Outcome::not_sent : Outcome::connect_failure;
+    timer_.expires_at(clock_.point(std::min(give_up, exchange_->write_deadline)));
+    timer_.async_wait([this, self = shared_from_this(), outcome](error_code ec) {
+        if (ec || state_ != State::connecting) return;
+        end(connect_retries_ > 0 ? Outcome::not_sent : outcome);
+    });
+}
+
+void UpstreamConnection::open_socket() {
+    error_code ec;
+    socket_.open(address_.protocol(), ec);
+    if (!ec) socket_.set_option(tcp::no_delay(true), ec);
+    if (!ec) socket_.non_blocking(true, ec);
+    if (!ec) socket_.set_option(asio::socket_base::receive_buffer_size(kUpstreamReceiveBuffer), ec);
+    if (ec) return retry_connect();  // above all: no descriptor
+    socket_.async_connect(
+        address_, [this, self = shared_from_this()](error_code connect_ec) { on_connected(connect_ec); });
+}
+
+// This machine could not connect, which says nothing about the endpoint. Such a shortage is often short.
+void UpstreamConnection::retry_connect() {
+    if (++connect_retries_ > kMaxConnectRetries) return end(Outcome::not_sent);
+    error_code ignored;
+    socket_.close(ignored);
+    connect_retry_timer_.expires_after(kConnectRetryInterval);
+    connect_retry_timer_.async_wait([this, self = shared_from_this()](error_code ec) {
+        if (!ec && state_ == State::connecting) open_socket();
+    });
+}
+
+void UpstreamConnection::on_connected(error_code ec) {
+    if (state_ != State::connecting) return;
+    if (is_local_error(ec)) return retry_connect();
+    if (ec) return end(Outcome::connect_failure);
+    if (!exchange_->is_probe) {
+        if (!owner_.may_write(shared_from_this(), false)) return;
+        timer_.cancel();
+    }
+    write_request();
+}
+
+// ---- Writing
+
+// Milliseconds: what is left now, less a margin. The slack that the protocol gives is as long as this process
+// may be delayed before its write, and leaves nothing for the network.
+Millis UpstreamConnection::propagated_time_left() const {
+    const Millis left = std::max(0.0, exchange_->deadline - clock_.now());
+    return left - std::min(kDeadlineMargin, left * kDeadlineMarginShare);
+}
+
+void UpstreamConnection::write_request() {
+    if (clock_.now() >= exchange_->write_deadline) return end(Outcome::not_sent);
+    state_ = State::writing;
+    HttpRequest& message = *exchange_->request;
+    if (!exchange_->is_probe) {
+        // Whole milliseconds would round a short time to nothing.
+        const auto microseconds = static_cast<long long>(propagated_time_left() * 1000);
+        message.set("X-Time-Left", std::to_string(microseconds) + "u");
+    }
+    output_ = text_of_message(message);
+    written_bytes_ = 0;
+    write_available_bytes();
+}
+
+// Synchronously: nearly every request fits the kernel's buffer, and how much was written is known at once.
+void UpstreamConnection::write_available_bytes() {
+    const Transfer transfer = write_available(socket_, asio::buffer(output_) + written_bytes_);
+    written_bytes_ += transfer.bytes;
+    // An endpoint begins a request with its last byte: short of that, it never ran.
+    if (transfer.error) return end(Outcome::connect_failure);
+    if (written_bytes_ == output_.size()) return begin_response();
+    socket_.async_wait(tcp::socket::wait_write,
+                       [this, self = shared_from_this()](error_code) { on_writable(); });
+}
+
+void UpstreamConnection::on_writable() {
+    if (state_ != State::writing) return;
+    if (!exchange_->is_probe && !owner_.may_write(shared_from_this(), true)) return;
+    if (clock_.now() >= exchange_->write_deadline) return end(Outcome::not_sent);
+    write_available_bytes();
+}
+
+// ---- Reading
+
+void UpstreamConnection::begin_response() {
+    state_ = State::reading;
+    parser_.emplace();
+    parser_->header_limit(kMaxHeader);
+    parser_->body_limit(kMaxBody);
+    parser_->eager(false);
+    head_bytes_ = 0;
+    parse();
+}
+
+void UpstreamConnection::parse() {
+    while (!parser_->is_done()) {
+        const error_code ec = parse_buffered(*parser_, input_, head_bytes_);
+        if (ec == http::error::need_more) return receive();
+        if (ec) return end(Outcome::connection_reset);
+    }
+    const unsigned status = parser_->get().result_int();
+    if (status / 100 != 1) return on_response();
+    // An interim response: another one follows, in bounded number.
+    if (status == 101 || ++interim_responses_ > kMaxInterimResponses) return end(Outcome::connection_reset);
+    begin_response();
+}
+
+void UpstreamConnection::receive() {
+    socket_.async_read_some(
+        input_.prepare(kReadSize),
+        [this, self = shared_from_this()](error_code ec, std::size_t size) { on_received(ec, size); });
+}
+
+void UpstreamConnection::on_received(error_code ec, std::size_t size) {
+    if (state_ != State::reading) return;
+    // A response without a length is complete when its endpoint ends the connection; a reset may have cut it.
+    if (ec == asio::error::eof && parser_->is_header_done() && parser_->need_eof()) parser_->put_eof(ec);
+    if (ec) return end(Outcome::connection_reset);
+    try {
+        input_.commit(size);
+        parse();
+    } catch (const std::exception& error) {
+        // An error of one response must not affect the others.
+        log_line(std::string("upstream response failed: ") + error.what());
+        if (exchange_) end(Outcome::connection_reset);
+    }
+}
+
+void UpstreamConnection::on_response() {
+    // Bytes behind the response belong to no request: such a connection is not used again.
+    const bool reusable = parser_->keep_alive() && input_.size() == 0;
+    HttpResponse response = parser_->release();
+    parser_.reset();
+    owner_.end_exchange(shared_from_this(), outcome_of(response), &response, reusable);
+}
+
+// ---- Idle time
+
+void UpstreamConnection::become_idle() {
+    state_ = State::idle;
+    idle_since_ = clock_.now();
+    if (output_.capacity() > kReadSize) output_ = std::string();
+    interim_responses_ = 0;
+    if (input_.capacity() > kReadSize) input_.shrink_to_fit();
+    socket_.async_wait(tcp::socket::wait_read, [this, self = shared_from_this()](error_code) {
+        // Whether it has ended or something has come unasked, it cannot be used again.
+        if (state_ == State::idle && !is_usable()) owner_.close_connection(self, CloseReason::peer_closed);
+    });
+}
+
+void UpstreamConnection::close_idle_at(Millis at) {
+    timer_.expires_at(clock_.point(at));
+    timer_.async_wait([this, self = shared_from_this()](error_code ec) {
+        if (!ec && state_ == State::idle) owner_.close_connection(self, CloseReason::idle);
+    });
+}
+
+void UpstreamConnection::close() {
+    state_ = State::closed;
+    timer_.cancel();
+    connect_retry_timer_.cancel();
+    error_code ignored;
+    socket_.close(ignored);
+}
+
+}  // namespace ochregrade::sidecar
--- /dev/null
+++ b/src/proxy/upstream_connection.hpp
@@ -0,0 +1,131 @@
+// One connection to an upstream endpoint: connects, writes a request, reads its response, one exchange at a
+// time. It reports how each exchange ended, above all whether the endpoint may have run the request, and
+// never sends a request twice.
+#pragma once
+
+#include <limits>
+#include <memory>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "common/clock.hpp"
+#include "common/http.hpp"
+#include "ochregrade/balancer.hpp"
+#include "proxy/close_reason.hpp"
+
+namespace ochregrade::sidecar {
+
+struct AttemptKey {
+    RequestId id = 0;
+    std::uint32_t attempt = 0;
+    // The check takes the generated comparison with 0 for a null pointer.
+    auto operator<=>(const AttemptKey&) const = default;  // NOLINT(modernize-use-nullptr)
+};
+
+/// A request to be written to an endpoint, and its time limits (Clock milliseconds).
+struct Exchange {
+    AttemptKey key;  // of an attempt
+    bool is_probe = false;
+    RequestPtr request;
+    Millis started_at = 0;
+    Millis deadline = 0;                                              // of the response
+    Millis write_deadline = std::numeric_limits<Millis>::infinity();  // of the request's last byte
+    Millis connect_timeout = 0;                                       // milliseconds; attempts only
+};
+
+class UpstreamConnection;
+using UpstreamConnectionPtr = std::shared_ptr<UpstreamConnection>;
+
+/// The connections to one endpoint while it is listed with this address and start.
+struct ConnectionGroup {
+    std::vector<UpstreamConnectionPtr> idle;  // the most recently used last
+    std::size_t connections = 0;              // all of them
+    bool withdrawn = false;                   // none is used again
+};
+
+class UpstreamConnection : public std::enable_shared_from_this<UpstreamConnection> {
+public:
+    enum class State { connecting, writing, reading, idle, closed };
+
+    /// Decides about the connection. Must outlive the running of the event loop: pending handlers of a
+    /// connection refer to it.
+    class Owner {
+    public:
+        virtual ~Owner() = default;
+        /// Called when the connection is established, and before each further part of a request that the
+        /// kernel did not take at once (`partly_written`). False: nothing more of it is written, and the
+        /// exchange has been ended.
+        virtual bool may_write(const UpstreamConnectionPtr& connection, bool partly_written) = 0;
+        /// The exchange has ended; `response` only where there is one. `reusable`: the connection may be used
+        /// for another.
+        virtual void end_exchange(const UpstreamConnectionPtr& connection, Outcome outcome,
+                                  HttpResponse* response, bool reusable) = 0;
+        /// An idle connection is of no further use.
+        virtual void close_connection(const UpstreamConnectionPtr& connection, CloseReason reason) = 0;
+    };
+
+    UpstreamConnection(asio::io_context& io, const Clock& clock, Owner& owner, EndpointId endpoint,
+                       const tcp::endpoint& address, std::shared_ptr<ConnectionGroup> group);
+
+    EndpointId endpoint() const { return endpoint_; }
+    const tcp::endpoint& address() const { return address_; }
+    ConnectionGroup& group() const { return *group_; }
+    bool is_in(const std::shared_ptr<ConnectionGroup>& group) const { return group_ == group; }
+    State state() const { return state_; }
+    Millis idle_since() const { return idle_since_; }
+    /// None while idle or closed.
+    const Exchange* exchange() const { return exchange_.get(); }
+    /// Whether nothing has come on an idle connection and it has not ended.
+    bool is_usable() { return peek(socket_) == SocketState::quiet; }
+
+    void set_exchange(std::unique_ptr<Exchange> exchange);
+    std::unique_ptr<Exchange> release_exchange();
+    void connect();
+    void write_request();
+
+    void become_idle();
+    /// Closes the connection at `at` unless it is used before.
+    void close_idle_at(Millis at);
+    void stop_idle_timer() { timer_.cancel(); }
+    void close();
+
+private:
+    void start_probe_timer();
+    void start_connect_timer();
+    void open_socket();
+    void retry_connect();
+    void on_connected(error_code ec);
+    Millis propagated_time_left() const;
+    void write_available_bytes();
+    void on_writable();
+    void begin_response();
+    void parse();
+    void receive();
+    void on_received(error_code ec, std::size_t size);
+    void on_response();
+    void end(Outcome outcome) { owner_.end_exchange(shared_from_this(), outcome, nullptr, false); }
+
+    const Clock& clock_;
+    Owner& owner_;
+    EndpointId endpoint_;
+    tcp::endpoint address_;
+    std::shared_ptr<ConnectionGroup> group_;
+    tcp::socket socket_;
+    asio::steady_timer
+        timer_;  // connecting, probes and idle time; an attempt's deadline is kept by the driver
+    asio::steady_timer connect_retry_timer_;
+    int connect_retries_ = 0;
+    State state_ = State::connecting;
+    std::unique_ptr<Exchange> exchange_;
+
+    std::string output_;
+    std::size_t written_bytes_ = 0;
+    beast::flat_buffer input_;
+    std::size_t head_bytes_ = 0;
+    int interim_responses_ = 0;  // 1xx
+    std::optional<http::response_parser<http::string_body>> parser_;
+    Millis idle_since_ = 0;
+};
+
+}  // namespace ochregrade::sidecar
--- a/tests/common/log_test.cpp
+++ b/tests/common/log_test.cpp
@@ -1,4 +1,4 @@
-// The sidecar's log: one JSON object a line whatever a message holds, and no more than its rate allows.
+// The log: one JSON object a line whatever the message, and a bounded rate.
 #include "common/log.hpp"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Standard error into a file for as long as it lives; the lines written meanwhile.
+// Redirects standard error into a file while it exists, and reads the lines written meanwhile.
 class Captured {
 public:
     Captured() : path_("log-test-" + std::to_string(::getpid())) {
--- a/tests/proxy/rule_guard_test.cpp
+++ b/tests/proxy/rule_guard_test.cpp
@@ -1,5 +1,4 @@
-// The last check before a send, a refusal, an answer and a close: each reason, and which of them are
-// violations.
+// The rule guard's checks of sends, rejections, answers and closes: each reason, and which are violations.
 #include "proxy/rule_guard.hpp"
 
 #include <gtest/gtest.h>
@@ -84,13 +83,13 @@
 TEST(RuleGuard, CountsWhatCanNoLongerBeWithheld) {
     RuleGuard guard;
     guard.check_answer(1000, 1000 + RuleGuard::kAnswerGrace);
-    guard.check_propagated_deadline(400, 400 - RuleGuard::kTimeSlack);
+    guard.check_propagated_deadline(400, 400 - RuleGuard::kDeadlineSlack);
     guard.check_close(true, true);
     guard.check_close(false, false);
     guard.check_ready(true);
     EXPECT_EQ(guard.counts().all_violations(), 0U);
     guard.check_answer(1000, 1001 + RuleGuard::kAnswerGrace);
-    guard.check_propagated_deadline(400, 399 - RuleGuard::kTimeSlack);
+    guard.check_propagated_deadline(400, 399 - RuleGuard::kDeadlineSlack);
     guard.check_close(true, false);
     guard.check_ready(false);
     EXPECT_EQ(guard.counts().all_violations(), 4U);
