--- /dev/null
+++ b/tests/proxy/client_disconnect_test.cpp
@@ -0,0 +1,223 @@
+// Clients that disconnect: nothing is sent for them from then on, at whatever moment they leave.
+#include <linux/sockios.h>
+#include <sys/ioctl.h>
+
+#include "support/stepped_sidecar.hpp"
+#include "support/stepped_upstream_pool.hpp"
+
+namespace ochregrade::sidecar {
+namespace {
+
+// The disconnect is in the kernel behind the request, and there is an idle upstream connection to send it on.
+TEST(Departure, InTheKernelBehindTheRequestIsHeededBeforeItIsSentOn) {
+    FakeServer server;
+    SteppedSidecar sidecar(a_config(kNoAddress, {host("s1", server.at())}));
+    App first(sidecar.listener.endpoint());
+    ASSERT_EQ(sidecar.ask(first, App::request("listen")).result_int(), 200u);
+    for (const bool reset : {false, true}) {
+        App app(sidecar.listener.endpoint());
+        ASSERT_EQ(sidecar.ask(app, kHealthRequest).result_int(), 200u);
+        app.wire.write(App::request("listen"));
+        reset ? app.wire.reset() : app.wire.socket.close();
+        const auto left = sidecar.driver.totals().client_disconnects;
+        ASSERT_TRUE(sidecar.until(
+            [&] { return sidecar.driver.totals().client_disconnects > left || server.seen().size() > 1; }));
+    }
+    EXPECT_TRUE(sidecar.until([&] { return sidecar.driver.usage().attempts == 0; }));
+    EXPECT_EQ(server.seen().size(), 1u);
+}
+
+// The client leaves while the upstream connection is being established; the last check is before the first
+// byte.
+TEST(Departure, WhileAConnectionComesUpIsHeededBeforeItIsWrittenTo) {
+    FakeServer server;
+    SteppedUpstreamPool pool({1000, 15000, 10, 0});
+    pool.may_write = [&](AttemptKey key) { return pool.upstream.withdraw_request(key.id), true; };
+    pool.send(1, server.at());
+    pool.run();
+    EXPECT_EQ(pool.outcomes, std::vector<Outcome>{Outcome::not_sent});
+    EXPECT_EQ(pool.upstream.open(), 0u);
+    EXPECT_TRUE(server.seen().empty());
+}
+
+TEST(Departure, IsLookedForWhenAConnectionHasComeUp) {
+    FakeServer server;
+    SteppedSidecar sidecar(a_config(kNoAddress, {host("s1", server.at())}));
+    App app(sidecar.listener.endpoint());
+    ASSERT_EQ(sidecar.ask(app, kHealthRequest).result_int(), 200u);
+    app.wire.write(App::request("listen"));
+    // The kernel has established the connection, and neither that nor the disconnect has been read yet.
+    while (sidecar.driver.usage().connections == 0) sidecar.io.restart(), sidecar.io.run_one();
+    app.wire.socket.close();
+    ASSERT_TRUE(sidecar.until([&] { return sidecar.driver.totals().client_disconnects == 1; }));
+    EXPECT_TRUE(sidecar.until([&] { return sidecar.driver.usage().requests == 0; }));
+    EXPECT_TRUE(server.seen().empty());
+}
+
+// An attempt that is not written completely has not run: it is withdrawn, also where attempts may not be
+// cancelled.
+TEST(Departure, WithdrawsWhatIsWrittenInPart) {
+    const auto check = [&](const char* how, Outcome outcome,
+                           const std::function<void(SteppedUpstreamPool&)>& end) {
+        SCOPED_TRACE(how);
+        PartlyWrittenRequest request;
+        end(request.pool);
+        EXPECT_EQ(request.pool.outcomes, std::vector<Outcome>{outcome});
+        EXPECT_EQ(request.pool.upstream.open(), 0u);
+        request.go.set_value();
+        EXPECT_LT(request.came.get_future().get(), PartlyWrittenRequest::kWhole);
+    };
+    check("its client left", Outcome::not_sent,
+          [](SteppedUpstreamPool& pool) { pool.upstream.withdraw_request(pool.last); });
+    check("cancelled", Outcome::not_sent, [](SteppedUpstreamPool& pool) {
+        pool.upstream.cancel({pool.last, 0});
+    });
+    check("expired", Outcome::connect_failure, [](SteppedUpstreamPool& pool) {
+        pool.upstream.expire({pool.last, 0});
+    });
+}
+
+// The disconnect may be unread in the kernel when the next part can be written.
+TEST(Departure, IsLookedForBeforeEachFurtherPart) {
+    PartlyWrittenRequest request;
+    request.pool.may_write = [](AttemptKey) { return false; };
+    request.go.set_value();
+    request.pool.run();
+    EXPECT_EQ(request.pool.outcomes, std::vector<Outcome>{Outcome::not_sent});
+    EXPECT_LT(request.came.get_future().get(), PartlyWrittenRequest::kWhole);
+}
+
+// Pipelined bytes must not hide that the client leaves, however many there are.
+TEST(Departure, BehindAnyAmountSentAheadIsSeen) {
+    for (const std::size_t ahead : {40u << 10, 100u << 10, 1000u << 10}) {
+        SCOPED_TRACE(ahead);
+        std::promise<bool> closed;
+        FakeServer server([&](Wire& wire, const HttpRequest&, int) {
+            closed.set_value(wire.ended());
+            return false;
+        });
+        SteppedSidecar sidecar(a_config(kNoAddress, {host("s1", server.at())}));
+        auto app = std::make_unique<App>(sidecar.listener.endpoint());
+        app->wire.write(App::request("listen"));
+        ASSERT_TRUE(sidecar.until([&] { return server.seen().size() == 1; }));
+        std::string more;
+        while (more.size() < ahead) more += App::request("listen");
+        std::thread client([&] { app->wire.write(more), app.reset(); });
+        EXPECT_TRUE(sidecar.until([&] { return sidecar.driver.totals().client_disconnects == 1; }));
+        client.join();
+        EXPECT_TRUE(closed.get_future().get());
+        EXPECT_EQ(server.seen().size(), 1u) << "no pipelined request is sent either";
+        EXPECT_EQ(sidecar.listener.connections(), 0u);
+    }
+}
+
+// And soon enough: the 4 MB that a kernel holds for a sender are discarded within 0.3 s, six checks of
+// deadlines. A check is made, and counted, when no bytes move any more without it.
+TEST(Departure, BehindAllThatAKernelHoldsIsSeenWithinSixLooks) {
+    std::promise<void> over;
+    std::shared_future<void> end = over.get_future().share();
+    FakeServer server([&](Wire&, const HttpRequest&, int) { return end.wait(), false; });
+    SteppedSidecar sidecar(a_config(kNoAddress, {host("s1", server.at())}));
+    App app(sidecar.listener.endpoint());
+    app.wire.write(App::request("listen"));
+    ASSERT_TRUE(sidecar.until([&] { return server.seen().size() == 1; }));
+    std::size_t left = 4 << 20;
+    const std::string much(64 << 10, 'x');
+    const auto push = [&] {
+        const int socket = app.wire.socket.native_handle();
+        for (ssize_t n = 1; left > 0 && n > 0; left -= n > 0 ? static_cast<std::size_t>(n) : 0)
+            n = ::send(socket, much.data(), std::min(left, much.size()), MSG_DONTWAIT | MSG_NOSIGNAL);
+        if (left == 0) ::shutdown(socket, SHUT_WR);
+    };
+    int checks = 0;
+    ASSERT_TRUE(sidecar.until([&] {
+        do push(), sidecar.io.restart();
+        while (sidecar.io.poll() > 0);
+        if (sidecar.driver.totals().client_disconnects == 1) return true;
+        sidecar.io.restart();
+        if (sidecar.io.run_for(std::chrono::milliseconds(5)) == 0)
+            sidecar.listener.check_deadlines(), ++checks;
+        return false;
+    }));
+    EXPECT_LE(checks, 6);
+    over.set_value();
+}
+
+// One whole request may wait behind another; more closes the connection after the response being prepared.
+TEST(Departure, WhatIsSentAheadIsServedInTurnUpToABound) {
+    std::promise<void> go;
+    std::shared_future<void> gone = go.get_future().share();
+    FakeServer server(
+        [&](Wire& wire, const HttpRequest&, int) { return gone.wait(), wire.respond(200, "fine"), true; });
+    SteppedSidecar sidecar(a_config(kNoAddress, {host("s1", server.at())}));
+    App app(sidecar.listener.endpoint()), flood(sidecar.listener.endpoint());
+    app.wire.write(App::request("listen"));
+    flood.wire.write(App::request("listen"));
+    ASSERT_TRUE(sidecar.until([&] { return server.seen().size() == 2; }));
+    app.wire.write(App::request("deposit", "25000m", std::string(60000, 'x')));
+    std::atomic<bool> written{false};
+    std::thread client([&] { flood.wire.write(std::string(400 << 10, 'x')), written = true; });
+    // All of the flood has left the client's kernel buffer, so most of it has been read by the sidecar.
+    ASSERT_TRUE(sidecar.until([&] {
+        int unsent = 1;
+        sidecar.listener.check_deadlines();
+        ::ioctl(flood.wire.socket.native_handle(), SIOCOUTQ, &unsent);
+        return written && unsent == 0;
+    }));
+    client.join();
+    go.set_value();
+    ASSERT_TRUE(sidecar.until([&] { return sidecar.driver.totals().served == 3; }));
+    EXPECT_EQ(app.answer().result_int(), 200u);
+    EXPECT_EQ(app.answer().result_int(), 200u);
+    EXPECT_EQ(server.seen().back().body().size(), 60000u);
+    const HttpResponse last = sidecar.answer(flood);
+    EXPECT_EQ(last.result_int(), 200u);
+    EXPECT_FALSE(last.keep_alive());
+    EXPECT_TRUE(sidecar.until([&] { return is_readable(flood.wire); }));
+    EXPECT_TRUE(flood.wire.ended());
+}
+
+// Pipelined bytes count against the memory for bodies, as long as they are kept.
+TEST(Departure, WhatIsHeldAheadSharesTheMemoryAndGivesItBack) {
+    std::promise<void> go;
+    std::shared_future<void> gone = go.get_future().share();
+    FakeServer server(
+        [&](Wire& wire, const HttpRequest&, int) { return gone.wait(), wire.respond(200, "fine"), true; });
+    SteppedSidecar sidecar(a_config(kNoAddress, {host("s1", server.at())}), {400, 90000});
+    const std::string body(60000, 'x');
+    auto ahead = std::make_unique<App>(sidecar.listener.endpoint());
+    App other(sidecar.listener.endpoint());
+    ahead->wire.write(App::request("listen"));
+    ASSERT_TRUE(sidecar.until([&] { return server.seen().size() == 1; }));
+    ahead->wire.write(App::request("deposit", "25000m", body));
+    for (int i = 0; i < 40; ++i) sidecar.turn();
+    EXPECT_EQ(sidecar.ask(other, App::request("deposit", "25000m", body)).result_int(), 503u);
+    ahead.reset();
+    ASSERT_TRUE(sidecar.until([&] { return sidecar.driver.totals().client_disconnects == 1; }));
+    App again(sidecar.listener.endpoint());
+    go.set_value();
+    EXPECT_EQ(sidecar.ask(again, App::request("deposit", "25000m", body)).result_int(), 200u);
+}
+
+// A pipelined request must not hide that the client has left.
+TEST(BadRequests, APipeliningClientThatLeavesIsNoticed) {
+    std::promise<bool> closed;
+    FakeServer server([&](Wire& wire, const HttpRequest&, int) {
+        closed.set_value(wire.ended());
+        return false;
+    });
+    Running sidecar(a_config(kNoAddress, {host("s1", server.at())}));
+    const auto start = std::chrono::steady_clock::now();
+    {
+        App app(sidecar.at);
+        app.wire.write(App::request("listen"));
+        ASSERT_TRUE(server.wait_for(1));
+        app.wire.write(App::request("listen"));
+    }
+    EXPECT_TRUE(closed.get_future().get());
+    EXPECT_LT(seconds_since(start), 20);
+    EXPECT_EQ(server.seen().size(), 1u);
+}
+
+}  // namespace
+}  // namespace ochregrade::sidecar
--- /dev/null
+++ b/tests/proxy/discovery_client_test.cpp
@@ -0,0 +1,142 @@
+// Calls to discovery: watches, failed calls, and a change of its address.
+#include "discovery/discovery_client.hpp"
+
+#include "support/stepped_sidecar.hpp"
+
+namespace ochregrade::sidecar {
+namespace {
+
+TEST(Watch, SurvivesGarbageOldListsAndDowntime) {
+    FakeServer server;
+    FakeDiscovery discovery;
+    Running sidecar(a_config(discovery.at(), {host("s1", kNoAddress)}));
+    EXPECT_EQ(discovery.wait_for(1).at(0), "/v1/servers?after=5&wait_ms=");
+    discovery.say("{\"seq\":");
+    EXPECT_EQ(discovery.wait_for(2).at(1), "/v1/servers");
+    discovery.say(4, true, {});  // older than the current list
+    discovery.wait_for(3);
+    discovery.say("");  // discovery ends the connection
+    EXPECT_EQ(discovery.wait_for(4).at(3), "/v1/servers");
+    discovery.say(9, true, {host("s2", server.at())});
+    EXPECT_EQ(discovery.wait_for(5).at(4), "/v1/servers?after=9&wait_ms=");
+    App app(sidecar.at);
+    const auto start =
+        std::chrono::steady_clock::now();  // the next call is made just before the list is applied
+    while (app.ask(App::request("listen")).result_int() != 200u) ASSERT_LT(seconds_since(start), 30);
+}
+
+// After a call without an answer the changes since the current list are enough. Calls for the whole list from
+// each of many sidecars would keep an overloaded discovery down.
+TEST(Watch, AfterACallThatFailedItAsksForChangesOnly) {
+    FakeDiscovery discovery;
+    Running sidecar(a_config(discovery.at(), {host("s1", kNoAddress)}));
+    EXPECT_EQ(discovery.wait_for(1).at(0), "/v1/servers?after=5&wait_ms=");
+    discovery.say("");  // discovery ends the connection
+    EXPECT_EQ(discovery.wait_for(2).at(1), "/v1/servers?after=5&wait_ms=");
+    discovery.say(6, false, {host("s2", kNoAddress)});
+    discovery.say("");
+    EXPECT_EQ(discovery.wait_for(4).at(3), "/v1/servers?after=6&wait_ms=");
+}
+
+// A whole list that takes longer than a connection is waited for: a retry would discard the work that
+// discovery has already done on it.
+TEST(Watch, AWholeListMayTakeItsTime) {
+    FakeDiscovery discovery;
+    json config = a_config(discovery.at(), {});
+    config.erase("known");
+    Running sidecar(config);
+    EXPECT_EQ(discovery.wait_for(1).at(0), "/v1/servers");
+    std::this_thread::sleep_for(std::chrono::milliseconds(2500));  // longer than the connect timeout
+    discovery.say(1, true, {host("s1", kNoAddress)});
+    EXPECT_EQ(discovery.wait_for(2).at(1), "/v1/servers?after=1&wait_ms=") << "it was waited for";
+}
+
+// A watch that stalls looks like one without changes. Its wait_ms bounds how old the list may get: with the
+// call's timeout, a pause and one more call it must end before the protocol counts the change as notified.
+TEST(Watch, ThatFellSilentIsOpenedAnewWhileTheListMayStillBeOld) {
+    constexpr int kCountsAsTold = 6000, kBeyondWait = 2000, kLongestPause = 1500;
+    FakeServer server;
+    FakeDiscovery discovery;
+    Running sidecar(a_config(discovery.at(), {host("s1", kNoAddress)}));
+    discovery.fall_silent();
+    discovery.say(6, false, {host("s1", kNoAddress, "DELETED"), host("s2", server.at())});
+    EXPECT_EQ(discovery.wait_for(2).at(1), "/v1/servers?after=5&wait_ms=");
+    discovery.wait_for(3);
+    App app(sidecar.at);
+    EXPECT_EQ(app.ask(App::request("listen")).result_int(), 200u);
+    discovery.say(7, false, {});
+    discovery.wait_for(4);
+    const std::vector<int> waits = discovery.waits();
+    for (const int wait : waits) EXPECT_LE(wait, kCountsAsTold - kBeyondWait - kLongestPause);
+    EXPECT_NE(waits[1], waits[2]) << "many sidecars' calls must not stay in step";
+}
+
+// The new address has sequence numbers of its own, and a late answer from the old one is ignored. An
+// unreadable file changes nothing.
+TEST(Watch, MovesWithTheConfigurationAtOnce) {
+    FakeServer first, second;
+    FakeDiscovery old, fresh;
+    json config = a_config(old.at(), {host("s1", first.at())});
+    ConfigFile file(config.dump());
+    Running sidecar(config);
+    App app(sidecar.at);
+    old.wait_for(1);
+    file.write("{\"discovery\":");
+    sidecar.reload();
+    old.say(7, false, {});
+    EXPECT_EQ(old.wait_for(2).at(1), "/v1/servers?after=7&wait_ms=") << "the old one is kept";
+    config["discovery"] = fresh.at();
+    file.write(config.dump());
+    ::setenv("NODE_DISCOVERY", old.at().c_str(), 1);
+    sidecar.reload();
+    EXPECT_EQ(fresh.wait_for(1).at(0), "/v1/servers");
+    old.say(8, true, {});
+    fresh.say(2, true, {host("s2", second.at())});
+    EXPECT_EQ(fresh.wait_for(2).at(1), "/v1/servers?after=2&wait_ms=");
+    ::unsetenv("NODE_DISCOVERY");
+    const auto start = std::chrono::steady_clock::now();
+    while (second.seen().empty()) {
+        EXPECT_EQ(app.ask(App::request("listen")).result_int(), 200u);
+        ASSERT_LT(seconds_since(start), 30);
+    }
+    EXPECT_EQ(old.wait_for(2).size(), 2u);
+}
+
+// The address changes during the pause after a failed call.
+TEST(List, DiscoveryThatMovesDuringAPauseIsAskedAtOnce) {
+    asio::io_context io(1);
+    FakeDiscovery fresh;
+    fresh.say(1, true, {});
+    bool failed = false, received = false;
+    DiscoveryClient discovery(
+        io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 1), std::nullopt, true, 7,
+        {[&](const EndpointList&) { received = true, io.stop(); }, [&] { failed = true, io.stop(); }});
+    discovery.watch(true);
+    io.run_for(kPatience);
+    ASSERT_TRUE(failed);
+    discovery.set_address(endpoint_of(fresh.at()));
+    io.restart();
+    io.run_for(kPatience);
+    EXPECT_TRUE(received);
+    fresh.wait_for(2);  // the watch continues there
+}
+
+// The pause after a rejected call protects an overloaded discovery. After a watch that stalled it would only
+// make the list older.
+TEST(List, ACallGivenUpForItsTimeIsRepeatedWithoutBeingToldAsFailed) {
+    asio::io_context io(1);
+    FakeDiscovery silent;
+    silent.fall_silent();
+    silent.say(6, false, {});
+    int failed = 0;
+    bool received = false;
+    DiscoveryClient discovery(io, endpoint_of(silent.at()), 5, true, 7,
+                              {[&](const EndpointList&) { received = true, io.stop(); }, [&] { ++failed; }});
+    discovery.watch(true);
+    io.run_for(kPatience);
+    EXPECT_TRUE(received);
+    EXPECT_EQ(failed, 0);
+}
+
+}  // namespace
+}  // namespace ochregrade::sidecar
--- /dev/null
+++ b/tests/proxy/drain_test.cpp
@@ -0,0 +1,213 @@
+// A drain: what is answered between SIGTERM and the end of the process (docs/ENDINGS.md).
+#include "support/stepped_sidecar.hpp"
+
+namespace ochregrade::sidecar {
+namespace {
+
+json with_deadlines(json config, int milliseconds) {
+    for (auto& c : config["settings"]["classes"]) c["give-up-ms"] = milliseconds;
+    return config;
+}
+
+// The response was being written when the drain began: it promises to keep the connection, which nothing else
+// would close.
+TEST(Drain, ClosesAConnectionWhoseAnswerWasOnItsWay) {
+    SteppedSidecar sidecar(a_config(kNoAddress, {host("s1", kNoAddress)}));
+    App app(sidecar.listener.endpoint());
+    app.wire.write(kHealthRequest);
+    while (!is_readable(app.wire))
+        sidecar.io.restart(), sidecar.io.run_one();  // written, but the handler has not run
+    sidecar.listener.drain(sidecar.clock.now() + 1000);
+    EXPECT_EQ(sidecar.listener.connections(), 1u);
+    EXPECT_TRUE(app.answer().keep_alive());
+    sidecar.turn();
+    EXPECT_EQ(sidecar.listener.connections(), 0u);
+}
+
+// A new connection is about to carry a request: whoever opens it sends at once.
+TEST(Drain, LeavesANewConnectionTimeForItsFirstRequest) {
+    FakeServer server;
+    SteppedSidecar sidecar(a_config(kNoAddress, {host("s1", server.at())}));
+    App fresh(sidecar.listener.endpoint());
+    ASSERT_TRUE(sidecar.until([&] { return sidecar.listener.connections() == 1; }));
+    sidecar.listener.drain(sidecar.clock.now() + 5000);
+    sidecar.io.restart(), sidecar.io.run_for(std::chrono::milliseconds(20));
+    EXPECT_EQ(sidecar.ask(fresh, App::request("listen")).result_int(), 200u);
+    // One that sends nothing is closed soon.
+    App silent(sidecar.listener.endpoint());
+    ASSERT_TRUE(sidecar.until([&] { return sidecar.listener.connections() > 0; }));
+    EXPECT_TRUE(sidecar.until([&] {
+        sidecar.listener.close_idle();
+        return sidecar.listener.connections() == 0;
+    }));
+}
+
+TEST(Drain, LeavesAConnectionWhoseRequestIsUnread) {
+    FakeServer server;
+    SteppedSidecar sidecar(a_config(kNoAddress, {host("s1", server.at())}));
+    App app(sidecar.listener.endpoint()), queued(sidecar.listener.endpoint());
+    ASSERT_EQ(sidecar.ask(app, kHealthRequest).result_int(), 200u);
+    app.wire.write(App::request("deposit"));
+    App waiting(sidecar.listener.endpoint());  // in the accept queue
+    waiting.wire.write(App::request("deposit"));
+    sidecar.listener.drain(sidecar.clock.now() + 20000);
+    sidecar.listener.stop_accepting();
+    for (App* each : {&app, &waiting}) {
+        SCOPED_TRACE(each == &app ? "idle" : "in the queue");
+        const HttpResponse response = sidecar.answer(*each);
+        EXPECT_EQ(response.result_int(), 200u);
+        EXPECT_FALSE(response.keep_alive());
+    }
+}
+
+// Without a descriptor for them, connections in the accept queue are accepted as soon as there is one.
+TEST(Drain, EmptiesTheQueueOnceThereAreDescriptors) {
+    FakeServer server;
+    SteppedSidecar sidecar(a_config(kNoAddress, {host("s1", server.at())}));
+    App waiting(sidecar.listener.endpoint());
+    waiting.wire.write(App::request("deposit"));
+    sidecar.listener.drain(sidecar.clock.now() + 20000);
+    {
+        const NoDescriptors none;
+        EXPECT_FALSE(sidecar.listener.stop_accepting());
+    }
+    EXPECT_TRUE(sidecar.listener.stop_accepting());
+    EXPECT_EQ(sidecar.answer(waiting).result_int(), 200u);
+}
+
+// A request may cross the close of an idle connection, and its client then retries on a new one, which must
+// still be accepted. Repeated only if this thread is paused for the time in between.
+TEST(Drain, WhoeverIsClosedWhileRestingMayAskOnANewConnection) {
+    FakeServer server;
+    const auto served = [&] {
+        Running sidecar(a_config(kNoAddress, {host("s1", server.at())}));
+        sidecar.stop([] {});
+        sidecar.in_loop([] { return 0; });
+        App resting(sidecar.at);
+        EXPECT_TRUE(resting.wire.ended());
+        try {
+            App again(sidecar.at);
+            return again.ask(App::request("deposit")).result_int() == 200u;
+        } catch (const boost::system::system_error&) {
+            return false;  // not accepted any more
+        }
+    };
+    bool once = false;
+    for (int i = 0; i < 10 && !once; ++i) once = served();
+    EXPECT_TRUE(once);
+}
+
+// SIGKILL may come 3.7 s after SIGTERM, however long the deadlines.
+TEST(Drain, WhatComesLateIsAnsweredBeforeTheKillOfLongDeadlines) {
+    FakeServer server;
+    Running sidecar(with_deadlines(a_config(kNoAddress, {host("s1", server.at())}), 10000));
+    App app(sidecar.at);
+    ASSERT_EQ(app.ask(kHealthRequest).result_int(), 200u);
+    const std::string text = App::request("deposit", "10000m");
+    app.wire.write(text.substr(0, 30));
+    // Begun, so that it is not closed as idle.
+    while (sidecar.in_loop([&] { return !sidecar.node().listener().reading(); })) {
+    }
+    sidecar.stop([] {});
+    sidecar.in_loop([] { return 0; });
+    EXPECT_EQ(app.ask(text.substr(30)).result_int(), 200u);
+    const std::string left(server.seen().at(0)["X-Time-Left"]);
+    EXPECT_LE(std::stoll(left), 3500000);
+}
+
+// An incomplete request is rejected before the process ends, which would reset its connection without an
+// answer.
+TEST(Drain, HalfARequestIsToldOffBeforeTheEnd) {
+    Running sidecar(with_deadlines(a_config(kNoAddress, {host("s1", kNoAddress)}), 300));
+    App app(sidecar.at);
+    app.wire.write("POST /deposit HTTP/1.1\r\nHost: x\r\n");
+    while (sidecar.in_loop([&] { return !sidecar.node().listener().reading(); })) {
+    }
+    std::promise<bool> told;
+    sidecar.stop([&] { told.set_value(is_readable(app.wire)); });
+    EXPECT_TRUE(told.get_future().get());
+    EXPECT_EQ(app.answer().result_int(), 408u);
+}
+
+// A configuration with shorter deadlines came before the signal; requests that began before it keep theirs.
+TEST(Drain, WaitsForTheDeadlinesOfAnOlderConfiguration) {
+    FakeServer server([](Wire& wire, const HttpRequest&, int) { return wire.ended(), false; });
+    json config = with_deadlines(a_config(kNoAddress, {host("s1", server.at())}), 2500);
+    Running sidecar(config);
+    App app(sidecar.at);
+    app.wire.write(App::request("deposit", "2500m"));
+    ASSERT_TRUE(server.wait_for(1));
+    const json next = with_deadlines(config, 100);
+    ASSERT_EQ(sidecar.in_loop([&] {
+        return sidecar.node().change(next, ConfigVersions::Source::operators, false, {}).result;
+    }),
+              ConfigChange::Result::applied);
+    std::promise<std::size_t> unanswered;
+    sidecar.stop([&] { unanswered.set_value(sidecar.node().sidecar().pending_requests()); });
+    EXPECT_EQ(unanswered.get_future().get(), 0u);
+    EXPECT_EQ(app.answer().result_int(), 502u);
+}
+
+// SIGTERM again while draining: the end stays where it was, and `done` is called once.
+TEST(Drain, ASecondSignalChangesNothing) {
+    FakeServer server;
+    Running sidecar(a_config(kNoAddress, {host("s1", server.at())}));
+    std::promise<int> done;
+    sidecar.stop([&] { done.set_value(1); });
+    sidecar.stop([&] { done.set_value(2); });
+    EXPECT_EQ(done.get_future().get(), 1);
+}
+
+// Lists are applied to the end: a request that arrives while draining does not go to a draining endpoint.
+TEST(Drain, StillFollowsTheList) {
+    FakeServer old, fresh;
+    FakeDiscovery discovery;
+    Running sidecar(a_config(discovery.at(), {host("s1", old.at())}));
+    discovery.wait_for(1);
+    App app(sidecar.at);
+    const std::string text = App::request("deposit");
+    app.wire.write(text.substr(0, 30));
+    while (sidecar.in_loop([&] { return !sidecar.node().listener().reading(); })) {
+    }
+    sidecar.stop([] {});
+    discovery.say(6, false, {host("s1", old.at(), "DRAINING"), host("s2", fresh.at())});
+    discovery.wait_for(2);  // the next call is made when the list is applied, in the same turn of the loop
+    sidecar.in_loop([] { return 0; });
+    EXPECT_EQ(app.ask(text.substr(30)).result_int(), 200u);
+    EXPECT_TRUE(old.seen().empty());
+    EXPECT_EQ(fresh.seen().size(), 1u);
+}
+
+TEST(Stopping, ServesOnThenEnds) {
+    std::promise<void> go;
+    std::shared_future<void> gone = go.get_future().share();
+    FakeServer server([&](Wire& wire, const HttpRequest&, int number) {
+        if (number == 0) gone.wait();
+        return wire.respond(200, "fine"), true;
+    });
+    Running sidecar(a_config(kNoAddress, {host("s1", server.at())}));
+    App idle(sidecar.at), held(sidecar.at);
+    ASSERT_EQ(idle.ask("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").result_int(), 200u);
+    held.wire.write(App::request("deposit"));
+    ASSERT_TRUE(server.wait_for(1));
+    std::promise<void> done;
+    const auto start = std::chrono::steady_clock::now();
+    sidecar.stop([&] { done.set_value(); });
+    EXPECT_TRUE(idle.wire.ended());
+    if (seconds_since(start) < 0.3) {  // later, new connections need not be accepted
+        App late(sidecar.at);
+        const HttpResponse response = late.ask(App::request("listen"));
+        EXPECT_EQ(response.result_int(), 200u);
+        EXPECT_FALSE(response.keep_alive());
+    }
+    go.set_value();
+    const HttpResponse response = held.answer();
+    EXPECT_EQ(response.result_int(), 200u);
+    EXPECT_FALSE(response.keep_alive());
+    held.wire.socket.close();
+    EXPECT_EQ(done.get_future().wait_for(kPatience), std::future_status::ready);
+    EXPECT_GT(seconds_since(start), 0.4);
+}
+
+}  // namespace
+}  // namespace ochregrade::sidecar
--- a/tests/proxy/system_call_faults_test.cpp
+++ b/tests/proxy/system_call_faults_test.cpp
@@ -1,4 +1,4 @@
-// The real program under faults below the C library, injected by the fault shim (tests/soak/fault_shim.cpp).
+// The real program under failures of system calls, injected by the fault shim (tests/soak/fault_shim.cpp).
 #include <fcntl.h>
 #include <sys/mman.h>
 #include <sys/stat.h>
@@ -38,8 +38,7 @@
     std::unique_ptr<Process> start() { return Fixture::start(faults.environment()); }
 };
 
-// ---- accept reports a connection that its client has given up
-// ------------------------------------------------
+// ---- accept reports an aborted connection
 
 TEST(AbortedConnection, DoesNotStopADrain) {
     std::promise<void> go;
@@ -63,8 +62,8 @@
     go.set_value();
     EXPECT_EQ(app.answer().body(), "late");
     const bool ends = ended.wait_for(std::chrono::seconds(10)) == std::future_status::ready;
-    EXPECT_TRUE(ends) << "its loop stands still";
-    if (!ends) try_asking(f.listen, kHealth);  // whatever it waits for
+    EXPECT_TRUE(ends) << "its event loop is blocked";
+    if (!ends) try_asking(f.listen, kHealth);  // wakes it
     EXPECT_EQ(ended.get(), 0);
 }
 
@@ -78,11 +77,11 @@
     f.faults.set(kAcceptAborted, 0);
     const timeval patience{3, 0};
     ::setsockopt(app.wire.socket.native_handle(), SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
-    EXPECT_EQ(app.answer().result_int(), 200u) << "no edge comes for what stands behind it";
+    EXPECT_EQ(app.answer().result_int(), 200u)
+        << "no edge-triggered event comes for the connection behind it";
 }
 
-// ---- Calls that are interrupted or take a part
-// ---------------------------------------------------------------
+// ---- Interrupted and partial calls
 
 TEST(PartialCalls, LoseNoRequestAndNoAnswer) {
     FakeServer echo([](Wire& w, const HttpRequest& r, int) { return w.respond(200, r.body()), true; });
@@ -108,11 +107,9 @@
     }
 }
 
-// ---- A connection that this machine can't open
-// ----------------------------------------------------------------
+// ---- Local errors of connect
 
-// Neither a port nor a route of this machine's to connect with, for a moment: no fault of the server, and no
-// attempt spent.
+// A short lack of ports or routes on this machine counts against no endpoint and uses no attempt.
 TEST(LocalFault, OfAConnectIsWaitedOutAndSpendsNoAttempt) {
     FakeServer server([](Wire& w, const HttpRequest&, int) {
         return w.respond(200, "fine", "Connection: close\r\n"), false;
@@ -137,8 +134,7 @@
     EXPECT_EQ(server.seen().size(), asked);
 }
 
-// ---- A start while the system is short of something
-// ----------------------------------------------------------
+// ---- Startup
 
 TEST(Start, WaitsOutAMomentsShortage) {
     Faulty f;
@@ -163,10 +159,9 @@
     }
 }
 
-// ---- A log that nobody reads
-// ----------------------------------------------------------------------------------
+// ---- A log that is not read
 
-// A pipe at `path` that takes nothing more.
+// A full pipe at `path`.
 class FullPipe {
 public:
     explicit FullPipe(const std::string& path) {
@@ -188,7 +183,7 @@
     const FullPipe log(f.place.path + "/log");
     Process process(f.place, {});
     ASSERT_TRUE(until([&] { return try_asking(f.listen, kHealth) == 200; }));
-    f.config["settings"]["limits"]["max-attempts"] = 2;  // a new configuration is said in the log
+    f.config["settings"]["limits"]["max-attempts"] = 2;  // a change of the configuration is logged
     f.place.write(f.config.dump());
     process.signal(SIGHUP);
     ASSERT_TRUE(until([&] { return f.attempts() == 2; }));
--- a/tests/proxy/trace_test.cpp
+++ b/tests/proxy/trace_test.cpp
@@ -1,4 +1,4 @@
-// What can be found out about one request afterwards: its trace and the counters by reason.
+// The trace of one request and the counters by reason.
 #include "support/process_fixture.hpp"
 
 namespace ochregrade::sidecar {
--- /dev/null
+++ b/tests/proxy/upstream_pool_test.cpp
@@ -0,0 +1,193 @@
+// Reuse and closing of upstream connections.
+#include "proxy/upstream_pool.hpp"
+
+#include "support/stepped_sidecar.hpp"
+#include "support/stepped_upstream_pool.hpp"
+
+namespace ochregrade::sidecar {
+namespace {
+
+TEST(Pool, AStaleConnectionIsNotWrittenTo) {
+    std::atomic<int> closed{0};
+    FakeServer server([&](Wire& wire, const HttpRequest&, int) {
+        wire.respond(200, "fine");
+        wire.socket.close();
+        ++closed;
+        closed.notify_all();
+        return false;
+    });
+    SteppedUpstreamPool pool({1000, 15000, 50, 0});  // used again at once
+    for (int i = 0; i < 20; ++i) {
+        pool.send(1, server.at()), pool.run();
+        ASSERT_EQ(pool.outcomes.back(), Outcome::success) << i;
+        closed.wait(i);
+    }
+    EXPECT_EQ(server.seen().size(), 20u);
+}
+
+// Bytes that an endpoint sends behind its response, however late, are not taken for another response.
+TEST(Pool, ALeftoverIsNeverTheNextAnswer) {
+    std::promise<void> asked, said;
+    std::shared_future<void> go = asked.get_future().share();
+    std::promise<bool> ended;
+    FakeServer server([&](Wire& wire, const HttpRequest&, int number) {
+        wire.respond(200, "fine");
+        if (number > 0) return true;
+        go.wait();
+        wire.respond(200, "left over");
+        said.set_value();
+        ended.set_value(wire.ended());
+        return false;
+    });
+    SteppedUpstreamPool pool({1000, 15000, 50, 0});  // used again at once
+    pool.send(1, server.at()), pool.run();
+    asked.set_value();
+    said.get_future().get();
+    pool.send(1, server.at()), pool.run();
+    EXPECT_EQ(pool.bodies, (std::vector<std::string>{"fine", "fine"}));
+    EXPECT_TRUE(ended.get_future().get()) << "the connection is closed";
+    EXPECT_EQ(server.connections(), 2);
+}
+
+// A connection is used again only after the quiet period: it may still send more behind its response.
+TEST(Pool, AConnectionSettlesBeforeItIsUsedAgain) {
+    FakeServer server;
+    for (const bool settled : {false, true}) {
+        SteppedUpstreamPool pool({1000, 15000, 10, settled ? 0.0 : 10000.0});
+        const int before = server.connections();
+        pool.send(1, server.at());
+        pool.run();
+        pool.send(1, server.at());
+        pool.run();
+        EXPECT_EQ(pool.outcomes, std::vector<Outcome>(2, Outcome::success));
+        EXPECT_EQ(server.connections() - before, settled ? 1 : 2);
+    }
+}
+
+// Nothing is kept of endpoints that were withdrawn while an attempt was in flight, nor of thousands of them.
+// A new endpoint at the same address starts with a connection of its own.
+TEST(Pool, NothingStaysOfServersThatAreGone) {
+    FakeServer server;
+    SteppedUpstreamPool pool({1000, 15000, 50, 0});
+    for (EndpointId id = 1; id <= 2000; ++id) {
+        pool.send(id, server.at());
+        if (id % 2) pool.upstream.retire(id);  // with the attempt in flight
+        pool.run();
+        if (id % 2 == 0) {
+            EXPECT_EQ(pool.upstream.open(), 1u);
+            pool.upstream.withdraw_endpoint(id);
+        }
+        ASSERT_EQ(pool.upstream.open(), 0u) << id;
+        ASSERT_EQ(pool.upstream.pools(), 0u) << id;
+        ASSERT_EQ(pool.upstream.in_flight(), 0u) << id;
+    }
+    EXPECT_EQ(pool.outcomes, std::vector<Outcome>(2000, Outcome::success));
+    EXPECT_EQ(server.connections(), 2000);
+}
+
+// A shortage of descriptors is the sidecar's own and must not count against an endpoint.
+TEST(Pool, NoRoomIsNoFaultOfTheServer) {
+    Silent silent;
+    SteppedUpstreamPool pool({60000, 15000, 1, 0});
+    pool.send(1, silent.at());
+    pool.send(2, silent.at());
+    EXPECT_EQ(pool.outcomes, std::vector<Outcome>{Outcome::not_sent});
+    EXPECT_EQ(pool.upstream.open(), 1u);
+}
+
+TEST(Pool, NoDescriptorIsNoFaultOfTheServer) {
+    FakeServer first, second;
+    SteppedUpstreamPool pool({1000, 15000, 10, 0});
+    pool.send(1, first.at()), pool.run();
+    {
+        const NoDescriptors none;
+        pool.send(2, second.at()), pool.run();
+    }
+    EXPECT_EQ(pool.outcomes, (std::vector<Outcome>{Outcome::success, Outcome::not_sent}));
+    EXPECT_EQ(pool.upstream.open(), 1u);
+    {  // a short one is retried
+        const NoDescriptors none;
+        pool.send(2, second.at());
+    }
+    pool.run();
+    EXPECT_EQ(pool.outcomes.back(), Outcome::success);
+    EXPECT_EQ(pool.upstream.open(), 2u);
+}
+
+// The process was paused, and its timers have not fired yet when it continues.
+TEST(Pool, AConnectionIdleForTooLongIsNotUsedBeforeItsTimerFires) {
+    FakeServer server;
+    SteppedUpstreamPool pool({1000, 15000, 10, 0});
+    pool.send(1, server.at()), pool.run();
+    pool.clock.skip(14500);
+    pool.send(1, server.at()), pool.run();
+    EXPECT_EQ(pool.outcomes, (std::vector<Outcome>{Outcome::success, Outcome::success}));
+    EXPECT_EQ(server.connections(), 2);
+}
+
+TEST(Pool, IdleConnectionsGoBeforeTheServersLimit) {
+    std::promise<bool> closed;
+    FakeServer server([&](Wire& wire, const HttpRequest&, int) {
+        wire.respond(200, "fine");
+        closed.set_value(wire.ended());
+        return false;
+    });
+    json config = a_config(kNoAddress, {host("s1", server.at())});
+    config["settings"]["limits"]["idle-close-ms"] = 400;
+    Running sidecar(config);
+    App app(sidecar.at);
+    EXPECT_EQ(app.ask(App::request("listen")).result_int(), 200u);
+    EXPECT_TRUE(closed.get_future().get());
+}
+
+// One outcome of each kind, in turn.
+const FakeServer::Reply kMixedOutcomes = [](Wire& wire, const HttpRequest&, int number) {
+    if (number % 5 == 0) return wire.reset(), false;
+    if (number % 5 == 1) return wire.write("ICY 200 OK\r\n\r\n"), true;
+    if (number % 5 == 2) return wire.respond(500), true;
+    if (number % 5 == 3) return wire.ended(), false;  // until the attempt times out
+    return wire.respond(200, "fine"), true;
+};
+
+// At rest the balancer's count of attempts and that of the sockets agree, however attempts ended, and nothing
+// is kept of thousands of endpoints that have been added and removed. The balancer keeps an endpoint while it
+// counts an attempt or probe in flight to it.
+TEST(Pool, AtRestNothingIsOutAndOnlyTheListedAreKept) {
+    FakeServer mixed(kMixedOutcomes);
+    FakeDiscovery discovery;
+    Running sidecar(a_config(discovery.at(), {host("s1", mixed.at())}));
+    const auto wait_for = [&](const auto& reached) {
+        const auto start = std::chrono::steady_clock::now();
+        while (!reached(sidecar.usage())) {
+            if (seconds_since(start) > 30) return false;
+            std::this_thread::sleep_for(std::chrono::milliseconds(5));
+        }
+        return true;
+    };
+    int seq = 5;
+    for (int round = 0; round < 5; ++round) {
+        App app(sidecar.at);
+        for (int i = 0; i < 5; ++i) app.ask(App::request("deposit", "100m"));
+        app.wire.write(App::request("deposit", "100m"));  // and disconnects
+        std::vector<json> come, go;
+        for (int i = 0; i < 500; ++i) {
+            const std::string name = std::to_string(round * 500 + i);
+            come.push_back(host(name, kNoAddress));
+            go.push_back(host(name, kNoAddress, "DELETED"));
+        }
+        discovery.say(++seq, false, come);
+        ASSERT_TRUE(wait_for(
+            [](const BalancerDriver::Usage& h) { return h.endpoints == 501 && h.known_endpoints == 501; }));
+        discovery.say(++seq, false, go);
+        ASSERT_TRUE(wait_for(
+            [](const BalancerDriver::Usage& h) { return h.endpoints == 1 && h.known_endpoints == 1; }));
+    }
+    EXPECT_TRUE(wait_for([](const BalancerDriver::Usage& h) { return h.requests == 0 && h.attempts == 0; }));
+    discovery.say(++seq, true, {host("s2", mixed.at())});
+    EXPECT_TRUE(wait_for([](const BalancerDriver::Usage& h) {
+        return h.endpoints == 1 && h.known_endpoints == 1 && h.pools == 0;
+    }));
+}
+
+}  // namespace
+}  // namespace ochregrade::sidecar
--- a/tests/support/process_fixture.hpp
+++ b/tests/support/process_fixture.hpp
@@ -1,4 +1,4 @@
-// The real program as a child process of a test, with a folder of its own and steady stand-ins around it.
+// The real program as a child process of a test, with a folder of its own and fakes of its surroundings.
 #pragma once
 
 #include <spawn.h>
@@ -12,7 +12,7 @@
 
 namespace ochregrade::sidecar {
 
-// What it has of this machine goes with it.
+/// A temporary folder with the program's configuration, state and log; removed with the object.
 class Place {
 public:
     Place() {
@@ -32,6 +32,7 @@
     std::string path;
 };
 
+/// The program, running with the folder's configuration; killed with the object.
 class Process {
 public:
     Process(const Place& place, std::vector<std::string> more) {
@@ -53,13 +54,14 @@
         posix_spawn_file_actions_destroy(&files);
     }
     ~Process() { end(SIGKILL); }
-    // How it ended: its exit code, or less than 0 by a signal.
+    /// Sends `signal` (0: none) and waits for the end. The exit code, or minus the number of the signal that
+    /// ended it.
     int end(int signal) {
-        if (pid_ <= 0) return how_;
+        if (pid_ <= 0) return result_;
         if (signal) ::kill(pid_, signal);
         int status = 0;
         ::waitpid(std::exchange(pid_, 0), &status, 0);
-        return how_ = WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
+        return result_ = WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
     }
     void signal(int number) {
         if (pid_ > 0) ::kill(pid_, number);
@@ -68,16 +70,16 @@
         int status = 0;
         if (pid_ <= 0 || ::waitpid(pid_, &status, WNOHANG) == 0) return pid_ > 0;
         pid_ = 0;
-        how_ = WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
+        result_ = WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
         return false;
     }
 
 private:
     pid_t pid_ = 0;
-    int how_ = 0;
+    int result_ = 0;
 };
 
-// Says the whole list whenever it is asked for it; a watch hears nothing. Or it says nothing at all.
+/// A fake discovery that answers each call for the whole list and never a watch; if `silent`, no call at all.
 class SteadyDiscovery {
 public:
     explicit SteadyDiscovery(std::vector<json> hosts)
@@ -98,7 +100,7 @@
     Acceptor acceptor_;
 };
 
-// On an address of this process's own: what others bind, or connect from, can't have the port meanwhile.
+/// A free port on an address of this process's own, so that no other process can take it meanwhile.
 inline tcp::endpoint free_port() {
     asio::io_context io;
     const auto pid = static_cast<std::uint32_t>(::getpid());
@@ -106,7 +108,7 @@
     return tcp::acceptor(io, {own, 0}).local_endpoint();
 }
 
-// The answer's status, 0 where there is none: the process may be on its way out or not yet there.
+/// The response's status; 0 if there is none, as while the process starts or ends.
 inline unsigned try_asking(const tcp::endpoint& at, const std::string& text) {
     try {
         App app(at);
@@ -116,6 +118,7 @@
     }
 }
 
+/// Waits until `done` holds; false if it does not in time.
 template <class Done>
 bool until(Done done) {
     const auto end = std::chrono::steady_clock::now() + kPatience;
@@ -128,6 +131,7 @@
 
 inline const std::string kHealth = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
 
+/// A configured program with one endpoint, a discovery and an operators' endpoint.
 struct Fixture {
     FakeServer server;
     SteadyDiscovery discovery{{host("s1", server.at())}};
