--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -10,197 +10,234 @@
 namespace ochregrade::sidecar {
 
 namespace {
-// A watch may fall silent with nothing said, and shows it only when its wait is long over. What it misses
-// counts as told 6 s after that, so the wait, the time beyond it, the pause after a call that failed and the
-// next call have to fit in there together. Each call waits between half of this and all of it: many sidecars'
-// first calls come in step.
-constexpr double kLongestWaitMs = 2000;
-// A call that may wait is over 2 s after its wait, any other after 6 s: until then discovery has time to
-// answer. Whoever leaves sooner leaves its work behind in the queue, undone for nobody.
-constexpr std::chrono::milliseconds kBeyondWait{2000}, kCallTime{6000}, kConnectTime{2000};
-constexpr std::chrono::milliseconds kLasting{1000};
-constexpr std::uint64_t kListLimit = 16 * 1024 * 1024;
+
+// A long poll may fall silent without an error, which shows only when its wait is over. A change that it
+// misses has to be received within 6 s of that, so the wait, the time beyond it, the pause after a failed
+// call and the next call have to fit in there together. Each call waits between half of this and all of it:
+// the first calls of many sidecars coincide.
+constexpr double kMaxWaitMs = 2000;
+// Discovery has time to answer until 2 s after a call's wait, and 6 s for other calls. Who leaves sooner
+// leaves its work queued at discovery, done for nobody.
+constexpr std::chrono::milliseconds kTimeoutBeyondWait{2000};
+constexpr std::chrono::milliseconds kCallTimeout{6000};
+constexpr std::chrono::milliseconds kConnectTimeout{2000};
+// Lower sequence numbers for so long are a restarted sequence; a single one may be a late answer.
+constexpr std::chrono::milliseconds kRestartConfirmation{1000};
+constexpr std::uint64_t kMaxBodyBytes = 16 * 1024 * 1024;
+constexpr int kOk = 200;
+// The pause before a retry: 50 to 150 ms, so that sidecars don't retry in step.
+constexpr std::size_t kRetryPauseMs = 50;
+constexpr std::size_t kRetryJitterMs = 100;
+
 }  // namespace
 
 struct DiscoveryClient::Call {
-    explicit Call(std::unique_ptr<beast::tcp_stream> s) : stream(std::move(s)) {}
+    explicit Call(std::unique_ptr<beast::tcp_stream> connection) : stream(std::move(connection)) {}
     std::unique_ptr<beast::tcp_stream> stream;
-    std::string request;  // its text
+    std::string request;
     http::response_parser<http::string_body> parser;
     beast::flat_buffer buffer;
-    bool whole = false;
+    std::chrono::milliseconds timeout{};  // once connected
+    bool complete = false;                // the complete list was asked for
 };
 
-DiscoveryClient::DiscoveryClient(asio::io_context& io, const tcp::endpoint& at,
-                                 std::optional<std::uint64_t> known, bool on_request, std::uint64_t seed,
+DiscoveryClient::DiscoveryClient(asio::io_context& io, const tcp::endpoint& address,
+                                 std::optional<std::uint64_t> known_seq, bool polled, std::uint64_t seed,
                                  Handlers handlers)
     : io_(io),
       random_(seed),
-      at_(at),
+      address_(address),
       handlers_(std::move(handlers)),
-      pause_(io),
-      seq_(known.value_or(0)),
-      polled_(on_request),
-      gap_(!known) {}
+      retry_timer_(io),
+      seq_(known_seq.value_or(0)),
+      polled_(polled),
+      complete_list_needed_(!known_seq) {}
 
 void DiscoveryClient::watch(bool active) {
     active_ = active;
-    if (active && !call_) next();
+    if (active && !call_) start_next_call();
 }
 
 void DiscoveryClient::fetch() {
-    fetch_ = true;
-    if (!call_) next();
+    fetch_requested_ = true;
+    if (!call_) start_next_call();
 }
 
-void DiscoveryClient::set_address(const tcp::endpoint& to) {
-    if (to == at_) return;
+void DiscoveryClient::set_address(const tcp::endpoint& address) {
+    if (address == address_) return;
     log_line("discovery moves");
-    at_ = to;
-    const auto old = std::move(call_);
-    call_.reset();
-    if (old) old->stream->close();
-    kept_.reset();
-    seq_ = 0;  // the new one counts for itself: a lower number is no older list
+    address_ = address;
+    cancel_call();
+    seq_ = 0;  // the new discovery has its own sequence
     lower_since_.reset();
-    gap_ = true;
-    active_ = true;  // a pause after a call that failed was the old one's
-    next();
+    complete_list_needed_ = true;
+    active_ = true;  // a pause after a failed call was about the old address
+    start_next_call();
 }
 
 void DiscoveryClient::poll_now(std::uint32_t incarnation, std::uint64_t seq) {
-    claimed_incarnation_ = incarnation, claimed_seq_ = seq;
-    const auto old = std::move(call_);
-    call_.reset();
-    if (old) old->stream->close();
-    kept_.reset();
-    gap_ = fetch_ = true;
-    next();
+    claimed_incarnation_ = incarnation;
+    claimed_seq_ = seq;
+    cancel_call();
+    complete_list_needed_ = true;
+    fetch_requested_ = true;
+    start_next_call();
 }
 
-// A list that is only late says so once. A discovery that began anew says lower numbers, and no others, for
-// as long as it takes, or others have seen it too.
-bool DiscoveryClient::counts_anew(const EndpointList& list) {
-    if (!list.complete) return false;
-    const auto now = std::chrono::steady_clock::now();
-    const bool others = claimed_incarnation_ > incarnation_ && list.seq >= claimed_seq_;
-    const bool lasting = lower_since_ && list.seq >= lower_seq_ && now - *lower_since_ >= kLasting;
-    if (!lower_since_ || list.seq < lower_seq_) lower_since_ = now;
-    lower_seq_ = list.seq;
-    if (!others && !lasting) return false;
-    ++incarnation_;
-    log_line("discovery counts anew: list " + std::to_string(list.seq) + " after " + std::to_string(seq_));
-    return true;
+// Its handlers still run, and find that it is not the current one.
+void DiscoveryClient::cancel_call() {
+    const CallPtr call = std::move(call_);
+    call_.reset();
+    if (call) call->stream->close();
+    connection_.reset();
 }
 
-void DiscoveryClient::next() {
-    if (call_ || (!active_ && !fetch_)) return;
-    pause_.cancel();
-    call(gap_ || fetch_);
+void DiscoveryClient::start_next_call() {
+    if (call_ || (!active_ && !fetch_requested_)) return;
+    retry_timer_.cancel();
+    start_call(complete_list_needed_ || fetch_requested_);
 }
 
-void DiscoveryClient::call(bool whole) {
-    const bool fresh = !kept_;
-    auto call = std::make_shared<Call>(fresh ? std::make_unique<beast::tcp_stream>(io_) : std::move(kept_));
-    kept_.reset();
+void DiscoveryClient::start_call(bool complete) {
+    const bool reused = connection_ != nullptr;
+    auto connection = reused ? std::move(connection_) : std::make_unique<beast::tcp_stream>(io_);
+    connection_.reset();
+    const auto call = std::make_shared<Call>(std::move(connection));
     call_ = call;
-    call->whole = whole;
-    if (tracing()) trace_event("discovery_call", {{"whole", whole}, {"after", seq_}});
-    const auto wait = std::chrono::milliseconds(std::lround(kLongestWaitMs * (0.5 + random_.unit() / 2)));
+    call->complete = complete;
+    if (tracing()) trace_event("discovery_call", {{"whole", complete}, {"after", seq_}});
+    const auto wait = std::chrono::milliseconds(std::lround(kMaxWaitMs * (0.5 + random_.unit() / 2)));
+    call->timeout = complete ? kCallTimeout : wait + kTimeoutBeyondWait;
+    call->request = request_text(complete, wait);
+    call->parser.body_limit(kMaxBodyBytes);
+    if (reused) return exchange(call);
+    call->stream->expires_after(kConnectTimeout);
+    call->stream->async_connect(address_, [this, call](error_code ec) {
+        if (still_current(call, ec)) exchange(call);
+    });
+}
+
+std::string DiscoveryClient::request_text(bool complete, std::chrono::milliseconds wait) const {
     std::string target = "/v1/servers";
-    if (!whole) target += "?after=" + std::to_string(seq_) + "&wait_ms=" + std::to_string(wait.count());
+    if (!complete) target += "?after=" + std::to_string(seq_) + "&wait_ms=" + std::to_string(wait.count());
     http::request<http::string_body> request(http::verb::get, target, 11);
-    request.set(http::field::host, at_.address().to_string());
-    call->request = text_of_message(request);
-    call->parser.body_limit(kListLimit);
-    const auto fail = [this, call](error_code ec) {
-        if (ec == beast::error::timeout)
-            given_up(call, ec.message());
-        else if (ec)
-            failed(call, ec.message());
-        return ec || call_ != call;  // moved away from meanwhile
-    };
-    const auto exchange = [this, call, fail, wait] {
-        call->stream->expires_after(call->whole ? kCallTime : wait + kBeyondWait);
-        // What goes wrong in writing shows in reading too, which has the stream's time limit.
-        async_write_all(call->stream->socket(), asio::buffer(call->request), [call](error_code) {});
-        http::async_read(*call->stream, call->buffer, call->parser,
-                         [this, call, fail](error_code ec, std::size_t) {
-                             if (!fail(ec)) answered(call);
-                         });
-    };
-    if (!fresh) return exchange();
-    call->stream->expires_after(kConnectTime);
-    call->stream->async_connect(at_, [fail, exchange](error_code ec) {
-        if (!fail(ec)) exchange();
+    request.set(http::field::host, address_.address().to_string());
+    return text_of_message(request);
+}
+
+void DiscoveryClient::exchange(const CallPtr& call) {
+    call->stream->expires_after(call->timeout);
+    // An error in writing shows in reading too, which has the stream's timeout.
+    async_write_all(call->stream->socket(), asio::buffer(call->request), [call](error_code) {});
+    http::async_read(*call->stream, call->buffer, call->parser, [this, call](error_code ec, std::size_t) {
+        if (still_current(call, ec)) response_received(call);
     });
 }
 
-void DiscoveryClient::answered(const std::shared_ptr<Call>& call) {
+// False after an error, which has been handled, and for a call that was cancelled meanwhile.
+bool DiscoveryClient::still_current(const CallPtr& call, error_code ec) {
+    if (ec == beast::error::timeout)
+        call_timed_out(call, ec.message());
+    else if (ec)
+        call_failed(call, ec.message());
+    return !ec && call_ == call;
+}
+
+// None if the response can't be used, which has been handled.
+std::optional<EndpointList> DiscoveryClient::parse_response(const CallPtr& call) {
     const auto& response = call->parser.get();
-    if (response.result_int() != 200) return failed(call, "status " + std::to_string(response.result_int()));
-    EndpointList list;
+    if (response.result_int() != kOk) {
+        call_failed(call, "status " + std::to_string(response.result_int()));
+        return {};
+    }
     try {
-        list = parse_endpoint_list(nlohmann::json::parse(response.body()));
+        return parse_endpoint_list(nlohmann::json::parse(response.body()));
     } catch (const std::exception& error) {
-        return unsound(call, std::string("an answer that can't be read: ") + error.what());
+        response_invalid(call, std::string("an answer that can't be read: ") + error.what());
+        return {};
     }
-    if (call->whole && !list.complete) return unsound(call, "changes where the whole list was asked for");
-    if (list.seq < seq_ && !counts_anew(list)) return unsound(call, "an older list");
+}
+
+void DiscoveryClient::response_received(const CallPtr& call) {
+    const auto list = parse_response(call);
+    if (!list) return;
+    if (call->complete && !list->complete)
+        return response_invalid(call, "changes where the whole list was asked for");
+    if (list->seq < seq_ && !sequence_restarted(*list)) return response_invalid(call, "an older list");
+    accept_list(call, *list);
+}
+
+void DiscoveryClient::accept_list(const CallPtr& call, const EndpointList& list) {
     lower_since_.reset();
-    if (list.complete && claimed_incarnation_ > incarnation_ && list.seq >= claimed_seq_)
-        incarnation_ = claimed_incarnation_;
+    if (list.complete && claimed_by_others(list)) incarnation_ = claimed_incarnation_;
     if (tracing())
         trace_event("list",
                     {{"seq", list.seq}, {"whole", list.complete}, {"changes", list.endpoints.size()}});
     call_.reset();
-    if (call->parser.keep_alive()) kept_ = std::move(call->stream);
+    if (call->parser.keep_alive()) connection_ = std::move(call->stream);
     seq_ = list.seq;
-    if (list.complete) gap_ = false;
-    if (call->whole) fetch_ = false;
-    // The next call goes out first, so that the watch never lapses.
-    next();
-    if (list.complete || !list.endpoints.empty() || polled_) handlers_.told(list);
+    if (list.complete) complete_list_needed_ = false;
+    if (call->complete) fetch_requested_ = false;
+    // The next call goes out before the list is handled, so that no change is missed meanwhile.
+    start_next_call();
+    if (list.complete || !list.endpoints.empty() || polled_) handlers_.on_endpoints(list);
+}
+
+bool DiscoveryClient::claimed_by_others(const EndpointList& list) const {
+    return claimed_incarnation_ > incarnation_ && list.seq >= claimed_seq_;
+}
+
+// A late answer has a lower number once. A discovery that restarted its sequence sends lower numbers, and no
+// others, for kRestartConfirmation, or other sidecars have seen it restart.
+bool DiscoveryClient::sequence_restarted(const EndpointList& list) {
+    if (!list.complete) return false;
+    const auto now = std::chrono::steady_clock::now();
+    const bool lasting =
+        lower_since_ && list.seq >= lower_seq_ && now - *lower_since_ >= kRestartConfirmation;
+    if (!lower_since_ || list.seq < lower_seq_) lower_since_ = now;
+    lower_seq_ = list.seq;
+    if (!claimed_by_others(list) && !lasting) return false;
+    ++incarnation_;
+    log_line("discovery counts anew: list " + std::to_string(list.seq) + " after " + std::to_string(seq_));
+    return true;
 }
 
-// What it said may be wrong, so what is held from it may be too: the whole list is next.
-void DiscoveryClient::unsound(const std::shared_ptr<Call>& call, const std::string& why) {
-    gap_ = true;
-    failed(call, why);
+// The current list came from the same source and may be wrong too: the complete list is next.
+void DiscoveryClient::response_invalid(const CallPtr& call, const std::string& reason) {
+    complete_list_needed_ = true;
+    call_failed(call, reason);
 }
 
-// Drops the call under way; false where that is another one by now.
-bool DiscoveryClient::drop_failed(const std::shared_ptr<Call>& call, const std::string& why) {
+// Drops the call under way; false if it has been cancelled already.
+bool DiscoveryClient::drop_failed(const CallPtr& call, const std::string& reason) {
     if (call_ != call) return false;
-    log_line("discovery: " + why);
-    if (tracing()) trace_event("discovery_call_failed", {{"why", why}, {"whole", call->whole}});
+    log_line("discovery: " + reason);
+    if (tracing()) trace_event("discovery_call_failed", {{"why", reason}, {"whole", call->complete}});
     call_.reset();
-    kept_.reset();
+    connection_.reset();
     return true;
 }
 
-// A call without an answer has told nothing: asking for what came after the list held misses nothing, and
-// costs discovery a few lines where the whole list costs it all of them.
-void DiscoveryClient::failed(const std::shared_ptr<Call>& call, const std::string& why) {
-    if (!drop_failed(call, why)) return;
-    if (polled_) {
-        active_ = false, fetch_ = false;
-        return handlers_.failed();
-    }
-    call_again_soon();
+// A call without an answer has changed nothing: asking for the changes since the current list misses none,
+// and is cheaper for discovery than the complete list.
+void DiscoveryClient::call_failed(const CallPtr& call, const std::string& reason) {
+    if (!drop_failed(call, reason)) return;
+    if (!polled_) return retry_soon();
+    active_ = false;
+    fetch_requested_ = false;
+    handlers_.on_failed();
 }
 
-// Silence has taken more time than any pause would. Another pause on top of it would leave the next call,
-// which may be turned away, too little of the time within which a change counts as told.
-void DiscoveryClient::given_up(const std::shared_ptr<Call>& call, const std::string& why) {
-    if (drop_failed(call, why)) call_again_soon();
+// The timeout has taken longer than any pause would. Another pause on top of it, as a polled client's owner
+// makes, would leave the next call too little of the time within which a change has to be received.
+void DiscoveryClient::call_timed_out(const CallPtr& call, const std::string& reason) {
+    if (drop_failed(call, reason)) retry_soon();
 }
 
-// Soon, for a list that has moved on costs requests; not in step with others, and not in a spin.
-void DiscoveryClient::call_again_soon() {
-    pause_.expires_after(std::chrono::milliseconds(50 + random_.below(100)));
-    pause_.async_wait([this](error_code ec) {
-        if (!ec) next();
+void DiscoveryClient::retry_soon() {
+    retry_timer_.expires_after(std::chrono::milliseconds(kRetryPauseMs + random_.below(kRetryJitterMs)));
+    retry_timer_.async_wait([this](error_code ec) {
+        if (!ec) start_next_call();
     });
 }
 
--- a/src/discovery/discovery_client.hpp
+++ b/src/discovery/discovery_client.hpp
@@ -1,4 +1,5 @@
-// The watch on discovery. It keeps the list held coming; what can't be read or is older changes nothing.
+// The client of discovery (docs/DISCOVERY.md): long polls for changes of the endpoint list, or single calls
+// where lists are polled. Answers that can't be read or are older than the current list change nothing.
 #pragma once
 
 #include <boost/beast/core/tcp_stream.hpp>
@@ -16,57 +17,71 @@
 class DiscoveryClient {
 public:
     struct Handlers {
-        std::function<void(const EndpointList&)> told;
-        // Where lists are asked for: the call or the watch broke. Whoever is told calls watch() again, after
-        // a pause of its own. A call that got no answer in its time is repeated here and not told.
-        std::function<void()> failed;
+        std::function<void(const EndpointList&)> on_endpoints;
+        /// Only if polled: a call failed, and the client is inactive until watch() or fetch() is called. A
+        /// call that timed out is retried by the client itself.
+        std::function<void()> on_failed;
     };
-    // known: the number of the list held already. on_request: lists are asked for, and their failure told.
-    // seed: of how long calls wait.
-    DiscoveryClient(asio::io_context& io, const tcp::endpoint& at, std::optional<std::uint64_t> known,
-                    bool on_request, std::uint64_t seed, Handlers handlers);
+    /// known_seq: sequence number of the list at the start, if there is one. polled: see
+    /// Settings::polled_discovery. seed: of the random parts of waits and pauses. What the handlers use must
+    /// outlive the client's loop.
+    DiscoveryClient(asio::io_context& io, const tcp::endpoint& address,
+                    std::optional<std::uint64_t> known_seq, bool polled, std::uint64_t seed,
+                    Handlers handlers);
 
-    void watch(bool active);  // where lists are pushed, active from the start
-    void fetch();             // the whole list, once
+    /// Whether calls for changes follow one another.
+    void watch(bool active);
+    /// Fetches the complete list once.
+    void fetch();
+    /// Sequence number of the current list.
     std::uint64_t seq() const { return seq_; }
-    // How often discovery was found to count anew, from 1: a list is known by this and its number.
+    /// Counts from 1 how often discovery restarted its sequence; a list is identified by this and its number.
     std::uint32_t incarnation() const { return incarnation_; }
-    // The whole list now, whatever is under way: others hold a newer one, of that incarnation and number.
+    /// Fetches the complete list now, whatever is under way: other sidecars have a newer one, with this
+    /// incarnation and number.
     void poll_now(std::uint32_t incarnation, std::uint64_t seq);
-    void set_polled(bool on_request) { polled_ = on_request; }
-    // From now on another address is asked, from the whole list on. What the old one still says is dropped.
-    void set_address(const tcp::endpoint& to);
+    void set_polled(bool polled) { polled_ = polled; }
+    /// Calls go to another address from now on, first for the complete list; a call under way is dropped.
+    void set_address(const tcp::endpoint& address);
 
 private:
     struct Call;
-    void next();
-    void call(bool whole);
-    void answered(const std::shared_ptr<Call>& call);
-    bool counts_anew(const EndpointList& list);
-    void unsound(const std::shared_ptr<Call>& call, const std::string& why);
-    bool drop_failed(const std::shared_ptr<Call>& call, const std::string& why);
-    void failed(const std::shared_ptr<Call>& call, const std::string& why);
-    void given_up(const std::shared_ptr<Call>& call, const std::string& why);
-    void call_again_soon();
+    using CallPtr = std::shared_ptr<Call>;
+    void start_next_call();
+    void start_call(bool complete);
+    std::string request_text(bool complete, std::chrono::milliseconds wait) const;
+    void exchange(const CallPtr& call);
+    bool still_current(const CallPtr& call, error_code ec);
+    void response_received(const CallPtr& call);
+    std::optional<EndpointList> parse_response(const CallPtr& call);
+    void accept_list(const CallPtr& call, const EndpointList& list);
+    bool sequence_restarted(const EndpointList& list);
+    bool claimed_by_others(const EndpointList& list) const;
+    void cancel_call();
+    bool drop_failed(const CallPtr& call, const std::string& reason);
+    void call_failed(const CallPtr& call, const std::string& reason);
+    void response_invalid(const CallPtr& call, const std::string& reason);
+    void call_timed_out(const CallPtr& call, const std::string& reason);
+    void retry_soon();
 
     asio::io_context& io_;
     Random random_;
-    tcp::endpoint at_;
+    tcp::endpoint address_;
     Handlers handlers_;
-    std::shared_ptr<Call> call_;
-    std::unique_ptr<beast::tcp_stream> kept_;  // the connection for the next call
-    asio::steady_timer pause_;
+    CallPtr call_;                                   // under way
+    std::unique_ptr<beast::tcp_stream> connection_;  // idle, for the next call
+    asio::steady_timer retry_timer_;
     std::uint64_t seq_ = 0;
     std::uint32_t incarnation_ = 1;
-    std::uint32_t claimed_incarnation_ = 0;  // others say so, of that number
+    std::uint32_t claimed_incarnation_ = 0;  // highest that other sidecars act on
     std::uint64_t claimed_seq_ = 0;
-    // Whole lists with lower numbers than ours, since when, and the last one's number.
+    // Since when complete lists have lower numbers than the current one, and the last one's number.
     std::optional<std::chrono::steady_clock::time_point> lower_since_;
     std::uint64_t lower_seq_ = 0;
     bool polled_;
     bool active_ = false;
-    bool gap_ = false;  // something may have been missed: the whole list is next
-    bool fetch_ = false;
+    bool complete_list_needed_ = false;  // changes may have been missed
+    bool fetch_requested_ = false;
 };
 
 }  // namespace ochregrade::sidecar
