--- a/src/control/config.hpp
+++ b/src/control/config.hpp
@@ -1,4 +1,5 @@
-// The configuration, typed. Every complaint names the field that it is about.
+// The configuration, typed; each field is explained in docs/CONFIGURATION.md. Including this header also
+// gives the errors, the endpoint list, the file and the candidates.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -6,56 +7,31 @@
 #include <cstdint>
 #include <nlohmann/json_fwd.hpp>
 #include <optional>
-#include <stdexcept>
 #include <string>
 #include <string_view>
 #include <vector>
 
+#include "control/config_candidate.hpp"
+#include "control/config_error.hpp"
+#include "control/config_file.hpp"
+#include "control/endpoint_list.hpp"
 #include "ochregrade/balancer.hpp"
 
 namespace ochregrade::sidecar {
 
-using boost::asio::ip::tcp;
 using boost::asio::ip::udp;
 
-struct ValidationError {
-    std::string field, what;
-};
-struct ConfigError : std::runtime_error {
-    explicit ConfigError(std::vector<ValidationError> all);
-    ConfigError(const std::string& field, const std::string& what);
-    std::vector<ValidationError> errors;  // all of them, not only the first
-};
-
-// One server as discovery lists it.
-struct ListedEndpoint {
-    std::string name;
-    tcp::endpoint address;
-    std::string zone;
-    std::uint32_t cell = 0;
-    EndpointState state = EndpointState::serving;
-    Millis started_at = 0;
-    double capacity_weight = 1;
-};
-struct EndpointList {
-    std::uint64_t seq = 0;
-    bool complete = false;
-    std::vector<ListedEndpoint> endpoints;
-};
-// Reads discovery's form; throws ConfigError.
-EndpointList parse_endpoint_list(const nlohmann::json& json);
-
-// How a new generation is tried; bake 0: not at all.
+/// How a new version of the configuration is tried before it counts as good.
 struct CanaryRule {
-    Millis duration = 0;
-    double max_drop = 0.05;
-    std::size_t min_samples = 50;
+    Millis duration = 0;           // 0: without a canary
+    double max_drop = 0.05;        // of the share of requests served
+    std::size_t min_samples = 50;  // answers without which there is no verdict
 };
 
-// The sidecar's part in the fleet's shared state (docs/FLEET-STATE.md).
+/// The sidecar's part in the replicated state of the fleet (docs/FLEET-STATE.md).
 struct ReplicationConfig {
     bool enabled = false;
-    bool version_agreement = true;  // what others act on that is newer is asked for
+    bool version_agreement = true;  // newer versions that other members act on are fetched
     Millis probe_period = 1000, gossip_period = 100, sync_period = 2000;
     bool operator==(const ReplicationConfig&) const = default;
 };
@@ -74,13 +50,13 @@
     std::optional<tcp::endpoint> operator_endpoint;
     CanaryRule canary;
     ReplicationConfig replication;
-    std::uint32_t epoch = 0;          // of the settings, the operators'; 0: they count none
-    double rollout_share = 1;         // the share of the fleet that is to act on it
+    std::uint32_t epoch = 0;          // of the settings, set by operators; 0: not versioned
+    double rollout_share = 1;         // of the fleet that is to act on this epoch
     std::uint32_t settings_hash = 0;  // of the settings that all sidecars have in common
     std::string state_directory;      // empty: none
-    Millis stable_uptime = 2000;
+    Millis stable_uptime = 2000;      // a run as long as this does not count towards a crash loop
 
-    Settings settings;  // without my_zone: zones have their numbers from whoever runs
+    Settings settings;  // without local_zone: zones are numbered by the running process
     std::optional<std::string> local_zone;
     std::vector<std::string> classes;
     Millis connect_timeout = 1000;
@@ -88,41 +64,18 @@
     Millis longest_deadline = 3000;
     Millis max_retry_after = 1000;
 
-    // What it was read from, without what is unknown or read at the start only.
+    // The JSON that it was read from, without unknown and start-only fields.
     std::string document;
 
-    // Whether this sidecar is among the share that acts on it: the same ones whoever asks.
+    /// Whether this sidecar is among the share of the fleet that acts on the epoch; a hash of its index and
+    /// the epoch decides, so that every sidecar knows the answer for all.
     bool in_rollout() const;
-    // Whether it takes part in the shared state: it is asked to, may tell, and knows its place in the fleet.
+    /// Whether it takes part in replication: enabled, allowed to gossip, and with an index within the fleet.
     bool joins_replication() const;
-    // Index of a class by its name; classes.size() if there is none.
+    /// Index of a class by its name; classes.size() if there is none.
     std::size_t class_index(std::string_view class_name) const;
 };
-// Throws ConfigError with every complaint at once.
+/// Reads a document as parse_config gives it. Throws ConfigError with all errors found.
 Config read_config(const nlohmann::json& json);
 
-// The program's own section of the configuration, and its name up to version 0.1, read for one release more.
-constexpr const char* kOwnSection = "ochregrade";
-constexpr const char* kFormerSection = "cobaltshift";
-
-// Text to JSON, with bounds on size and depth. Throws ConfigError that names `source`. A section under its
-// former name gets the present one.
-nlohmann::json parse_config(std::string_view text, const std::string& source);
-
-// The text of the file that NODE_CONFIG names. One that is replaced meanwhile is read again.
-std::string read_config_file();
-
-// The file at the start; NODE_NAME, NODE_LISTEN and NODE_DISCOVERY go before what it says.
-nlohmann::json start_document();
-// Fields of the platform's that the table does not have are tolerated, and said so in a line.
-void log_unknown_fields(const nlohmann::json& document);
-// The file again. Here it goes before NODE_DISCOVERY: it is what has changed.
-nlohmann::json reload_document();
-
-// What a candidate leaves out of the fixed fields is as it was.
-void keep_fixed(nlohmann::json& candidate, const nlohmann::json& running);
-// For a candidate while `running` is in force: what it leaves out of the fixed and start-only fields is as
-// it was, and complaints about those that differ. Unknown fields are refused if `strict`.
-Config read_candidate(nlohmann::json candidate, const Config& running, bool strict);
-
 }  // namespace ochregrade::sidecar
--- a/src/control/config_schema.cpp
+++ b/src/control/config_schema.cpp
@@ -101,57 +101,76 @@
     {"settings.worth-by", unused, "", "the platform's"},
 };
 
-// What the table says of a path: a field, on the way to one, or nothing.
-struct Place {
+// What the table says of a path: it is a field, it has fields below it, or it is unknown.
+struct Lookup {
     const FieldInfo* field = nullptr;
-    bool on_the_way = false;
+    bool has_fields_below = false;
 };
-Place place_of(std::string_view path) {
-    Place found;
-    for (const FieldInfo& f : kFields) {
-        std::string_view known = f.path;
-        if (known == path) return {&f, false};
+
+// Whether `path` lies below `parent`: "a.b" and "a[]" below "a".
+bool is_below(std::string_view path, std::string_view parent) {
+    return path.size() > parent.size() && path.starts_with(parent) &&
+           (path[parent.size()] == '.' || path[parent.size()] == '[');
+}
+
+Lookup look_up(std::string_view path) {
+    Lookup found;
+    for (const FieldInfo& info : kFields) {
+        std::string_view known = info.path;
+        if (known == path) return {&info, false};
         if (known.ends_with(".*")) {
             known.remove_suffix(2);
-            // "settings.limits.*" says nothing of settings.limits itself: fields stand there.
-            const bool below = path.size() > known.size() && path.starts_with(known) &&
-                               (path[known.size()] == '.' || path[known.size()] == '[');
-            if ((below || path == known) && !found.field) found.field = &f;
+            if ((is_below(path, known) || path == known) && !found.field) found.field = &info;
         }
-        const bool way = path.empty() || (known.size() > path.size() && known.starts_with(path) &&
-                                          (known[path.size()] == '.' || known[path.size()] == '['));
-        found.on_the_way |= way;
+        found.has_fields_below |= path.empty() || is_below(known, path);
     }
-    if (found.on_the_way) found.field = nullptr;
+    // "settings.limits.*" says nothing of settings.limits itself: other fields are below it.
+    if (found.has_fields_below) found.field = nullptr;
     return found;
 }
 
-// Copies what is known and meant to last, and notes what is unknown. `path` names items, `pattern` does not.
-std::optional<json> walk(const json& value, const std::string& path, const std::string& pattern,
-                         std::vector<std::string>* unknown, std::size_t most) {
-    const Place place = place_of(pattern);
-    if (place.field) return place.field->kind == start_only ? std::nullopt : std::optional<json>(value);
-    if (!place.on_the_way) {
-        if (unknown && unknown->size() < most) unknown->push_back(path);
-        return std::nullopt;
-    }
-    json kept = value;
-    if (value.is_object()) {
-        kept = json::object();
-        for (const auto& [name, item] : value.items()) {
-            const std::string dot = path.empty() ? "" : ".";
-            if (auto part = walk(item, path + dot + name, pattern + dot + name, unknown, most))
-                kept[name] = std::move(*part);
+// Copies a document without its unknown and start-only fields, and collects the paths of unknown ones.
+class DocumentFilter {
+public:
+    explicit DocumentFilter(std::size_t max_unknown) : max_unknown_(max_unknown) {}
+
+    // `path` names items of lists by their index, `pattern` by "[]" as in the table. None: left out.
+    std::optional<json> copy(const json& value, const std::string& path, const std::string& pattern) {
+        const Lookup lookup = look_up(pattern);
+        if (lookup.field) {
+            if (lookup.field->kind == start_only) return std::nullopt;
+            return value;
+        }
+        if (!lookup.has_fields_below) {
+            if (unknown_.size() < max_unknown_) unknown_.push_back(path);
+            return std::nullopt;
         }
-    } else if (value.is_array()) {
-        kept = json::array();
+        if (value.is_object()) return copy_object(value, path, pattern);
+        if (value.is_array()) return copy_array(value, path, pattern);
+        return value;
+    }
+    const std::vector<std::string>& unknown() const { return unknown_; }
+
+private:
+    json copy_object(const json& value, const std::string& path, const std::string& pattern) {
+        json result = json::object();
+        const std::string dot = path.empty() ? "" : ".";
+        for (const auto& [name, item] : value.items())
+            if (auto part = copy(item, path + dot + name, pattern + dot + name))
+                result[name] = std::move(*part);
+        return result;
+    }
+    json copy_array(const json& value, const std::string& path, const std::string& pattern) {
+        json result = json::array();
         for (std::size_t i = 0; i < value.size(); ++i)
-            if (auto part =
-                    walk(value[i], path + "[" + std::to_string(i) + "]", pattern + "[]", unknown, most))
-                kept.push_back(std::move(*part));
+            if (auto part = copy(value[i], path + "[" + std::to_string(i) + "]", pattern + "[]"))
+                result.push_back(std::move(*part));
+        return result;
     }
-    return kept;
-}
+
+    std::size_t max_unknown_;
+    std::vector<std::string> unknown_;
+};
 
 }  // namespace
 
@@ -172,20 +191,21 @@
 }
 
 std::vector<std::string> unknown_fields(const json& config, std::size_t most) {
-    std::vector<std::string> unknown;
-    walk(config, "", "", &unknown, most);
-    return unknown;
+    DocumentFilter filter(most);
+    filter.copy(config, "", "");
+    return filter.unknown();
 }
 
-json generation_document(const json& config) {
-    return walk(config, "", "", nullptr, 0).value_or(json::object());
+json version_document(const json& config) {
+    DocumentFilter filter(0);
+    return filter.copy(config, "", "").value_or(json::object());
 }
 
 std::string fields_as_markdown() {
     std::string text = "| field | kind | form | meaning |\n| --- | --- | --- | --- |\n";
-    for (const FieldInfo& f : kFields)
-        text += std::string("| `") + f.path + "` | " + to_string(f.kind) + " | " + f.form + " | " +
-                f.meaning + " |\n";
+    for (const FieldInfo& info : kFields)
+        text += std::string("| `") + info.path + "` | " + to_string(info.kind) + " | " + info.form + " | " +
+                info.meaning + " |\n";
     return text;
 }
 
--- a/src/control/config_schema.hpp
+++ b/src/control/config_schema.hpp
@@ -29,7 +29,7 @@
 std::vector<std::string> unknown_fields(const nlohmann::json& config, std::size_t most = 20);
 
 // The configuration without what is unknown or read at the start only: what a generation consists of.
-nlohmann::json generation_document(const nlohmann::json& config);
+nlohmann::json version_document(const nlohmann::json& config);
 
 // The table as it stands in docs/CONFIGURATION.md.
 std::string fields_as_markdown();
--- a/src/control/config_versions.cpp
+++ b/src/control/config_versions.cpp
@@ -5,102 +5,127 @@
 
 namespace ochregrade::sidecar {
 
-void ConfigVersions::commit(ConfigSnapshotPtr snapshot, Source source, std::uint64_t content,
+namespace {
+
+constexpr Millis kSecond = 1000;
+
+}  // namespace
+
+void ConfigVersions::commit(ConfigSnapshotPtr snapshot, Source source, std::uint64_t content_version,
                             const CanaryRule& rule, Millis now) {
     const std::uint64_t number = snapshot->version;
     next_ = std::max(next_, number + 1);
     std::uint64_t fallback = retained_.empty() ? 0 : current().number();
     if (canary_) {
-        Entry& tried = retained_.back();
-        tried.state = source == Source::canary     ? State::rolled_back
-                      : source == Source::rollback ? State::withdrawn
-                                                   : State::superseded;
         fallback = canary_->fallback;
-        canary_.reset();
-    }
-    retained_.push_back({std::move(snapshot), content ? content : number, source, State::good, now, {}});
-    // What has just been left for its faults is no measure, and what was good once needs no second trial.
-    if (rule.duration > 0 && fallback != 0 && (source == Source::file || source == Source::operators)) {
-        retained_.back().state = State::canary;
-        canary_ = Canary{rule, fallback, recent(now), {}, now};
-        // A request that is going to fail takes its whole time for it.
-        canary_->rule.duration = std::max(rule.duration, retained_.back().snapshot->config.longest_deadline);
+        end_canary(source);
     }
+    const std::uint64_t content = content_version != 0 ? content_version : number;
+    retained_.push_back({std::move(snapshot), content, source, State::good, now, {}});
+    // A rollback has no canary: the version left is no baseline, and its target was good once.
+    const bool is_new = source == Source::file || source == Source::operators;
+    if (rule.duration > 0 && fallback != 0 && is_new) begin_canary(rule, fallback, now);
     drop_oldest();
 }
 
-void ConfigVersions::record_answer(std::uint64_t generation, bool served, Millis now) {
-    if (canary_ && generation == current().number()) {
-        canary_->observed.all += 1;
-        canary_->observed.served += served ? 1 : 0;
-        return;  // and is no measure for others before it is found good
-    }
-    const auto second = static_cast<std::int64_t>(now / 1000);
-    Second& slot = seconds_[static_cast<std::size_t>(second) % seconds_.size()];
-    if (slot.at != second) slot = {second, {}};
-    slot.share.all += 1;
-    slot.share.served += served ? 1 : 0;
+void ConfigVersions::begin_canary(const CanaryRule& rule, std::uint64_t fallback, Millis now) {
+    Entry& entry = retained_.back();
+    entry.state = State::canary;
+    canary_ = Canary{rule, fallback, recent(now), {}, now};
+    // A request that is going to fail takes up to its deadline to do so.
+    canary_->rule.duration = std::max(rule.duration, entry.snapshot->config.longest_deadline);
+}
+
+void ConfigVersions::end_canary(Source source) {
+    State& state = retained_.back().state;
+    if (source == Source::canary)
+        state = State::rolled_back;
+    else if (source == Source::rollback)
+        state = State::withdrawn;
+    else
+        state = State::superseded;
+    canary_.reset();
+}
+
+void ConfigVersions::record_answer(std::uint64_t version, bool served, Millis now) {
+    // A canary's answers are no baseline for others before it is found good.
+    if (canary_ && version == current().number()) return canary_->observed.count(served);
+    const auto index = static_cast<std::int64_t>(now / kSecond);
+    Second& second = seconds_[static_cast<std::size_t>(index) % seconds_.size()];
+    if (second.index != index) second = {index, {}};
+    second.share.count(served);
 }
 
 ConfigVersions::Share ConfigVersions::recent(Millis now) const {
-    const auto second = static_cast<std::int64_t>(now / 1000);
+    const auto newest = static_cast<std::int64_t>(now / kSecond);
+    const auto oldest = newest - static_cast<std::int64_t>(seconds_.size()) + 1;
     Share sum;
-    for (const Second& s : seconds_)
-        if (s.at >= 0 && s.at > second - static_cast<std::int64_t>(seconds_.size()) && s.at <= second) {
-            sum.served += s.share.served;
-            sum.all += s.share.all;
-        }
+    for (const Second& second : seconds_) {
+        if (second.index < 0 || second.index < oldest || second.index > newest) continue;
+        sum.served += second.share.served;
+        sum.all += second.share.all;
+    }
     return sum;
 }
 
+std::optional<std::string> ConfigVersions::failure(Millis now) const {
+    const CanaryRule& rule = canary_->rule;
+    const Share& observed = canary_->observed;
+    const auto answers = static_cast<unsigned long long>(observed.all);
+    std::array<char, 160> reason{};
+    if (observed.all >= rule.min_samples) {
+        // A baseline of too few answers says nothing: the canary then has to serve all but max_drop.
+        const double before = canary_->baseline.all >= rule.min_samples ? canary_->baseline.value() : 1;
+        if (observed.value() >= before - rule.max_drop) return {};
+        std::snprintf(reason.data(), reason.size(), "share served fell from %.3f to %.3f (%llu answers)",
+                      before, observed.value(), answers);
+        return reason.data();
+    }
+    // No data is not health.
+    if (now < canary_->started_at + rule.duration * kMaxExtension) return {};
+    std::snprintf(reason.data(), reason.size(), "only %llu answers of %zu within its trial", answers,
+                  rule.min_samples);
+    return reason.data();
+}
+
 std::optional<ConfigVersions::Rollback> ConfigVersions::due(Millis now) {
     if (!canary_) return {};
-    const Canary& t = *canary_;
-    const bool enough = t.observed.all >= t.rule.min_samples;
-    // Too few answers before it say nothing: it is then held to all of them.
-    const double before = t.baseline.all >= t.rule.min_samples ? t.baseline.value() : 1;
-    char why[160];
-    if (enough && t.observed.value() < before - t.rule.max_drop) {
-        std::snprintf(why, sizeof why, "share served fell from %.3f to %.3f (%llu answers)", before,
-                      t.observed.value(), static_cast<unsigned long long>(t.observed.all));
-    } else if (!enough && now >= t.started_at + t.rule.duration * kLongestWait) {
-        // No data is not health.
-        std::snprintf(why, sizeof why, "only %llu answers of %zu within its trial",
-                      static_cast<unsigned long long>(t.observed.all), t.rule.min_samples);
-    } else {
-        if (enough && now >= t.started_at + t.rule.duration) {
-            retained_.back().state = State::good;
-            canary_.reset();
-            drop_oldest();
-        }
-        return {};
+    if (const auto reason = failure(now)) {
+        retained_.back().note = *reason;
+        return Rollback{find(canary_->fallback), *reason};
+    }
+    const bool enough_samples = canary_->observed.all >= canary_->rule.min_samples;
+    if (enough_samples && now >= canary_->started_at + canary_->rule.duration) {
+        retained_.back().state = State::good;
+        canary_.reset();
+        drop_oldest();
     }
-    retained_.back().note = why;
-    return Rollback{find(t.fallback), why};
+    return {};
 }
 
-const ConfigVersions::Entry* ConfigVersions::find(std::uint64_t generation) const {
-    const auto at = std::find_if(retained_.begin(), retained_.end(),
-                                 [&](const Entry& e) { return e.number() == generation; });
-    return at == retained_.end() ? nullptr : &*at;
+const ConfigVersions::Entry* ConfigVersions::find(std::uint64_t version) const {
+    const auto found = std::find_if(retained_.begin(), retained_.end(),
+                                    [&](const Entry& entry) { return entry.number() == version; });
+    return found == retained_.end() ? nullptr : &*found;
 }
 
 std::uint64_t ConfigVersions::first_with(const std::string& document) const {
-    for (const Entry& e : retained_)
-        if (e.snapshot->config.document == document) return e.content_version;
+    for (const Entry& entry : retained_)
+        if (entry.snapshot->config.document == document) return entry.content_version;
     return 0;
 }
 
 const ConfigVersions::Entry* ConfigVersions::previous() const {
     if (canary_) return find(canary_->fallback);
-    for (auto e = retained_.rbegin(); e != retained_.rend(); ++e)
-        if (e->state == State::good && e->content_version == e->number() &&
-            e->number() < current().content_version)
-            return &*e;
+    for (auto entry = retained_.rbegin(); entry != retained_.rend(); ++entry) {
+        const bool original = entry->content_version == entry->number();
+        const bool older = entry->number() < current().content_version;
+        if (entry->state == State::good && original && older) return &*entry;
+    }
     return nullptr;
 }
 
-// The oldest go first, but never the one that a trial may have to go back to.
+// The oldest go first, but never the one that a canary may have to be rolled back to.
 void ConfigVersions::drop_oldest() {
     while (retained_.size() > kMaxRetained) {
         const bool needed = canary_ && retained_.front().number() == canary_->fallback;
--- /dev/null
+++ b/src/control/json_field.hpp
@@ -0,0 +1,101 @@
+// Typed reading of a JSON document. A JsonField is a place in the document that knows its own path, so that
+// an error names it. Errors are collected and reading goes on with a value of no meaning: whoever reads the
+// document throws them all at the end.
+#pragma once
+
+#include <boost/asio/ip/basic_endpoint.hpp>
+#include <cstdint>
+#include <limits>
+#include <nlohmann/json.hpp>
+#include <optional>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "control/config_error.hpp"
+#include "ochregrade/balancer.hpp"
+
+namespace ochregrade::sidecar {
+
+/// An IP address and a port, from "127.0.0.1:9000" or "[::1]:9000"; none if the text is neither.
+struct AddressAndPort {
+    boost::asio::ip::address address;
+    std::uint16_t port = 0;
+};
+std::optional<AddressAndPort> parse_address_and_port(const std::string& text);
+
+class JsonField {
+public:
+    /// `value` null: the field is missing, which has been reported. `errors` must outlive the field.
+    JsonField(const nlohmann::json* value, std::string path, ValidationErrors& errors)
+        : value_(value), path_(std::move(path)), errors_(&errors) {}
+
+    /// Adds an error about this field; only the first one counts, what follows from it is noise.
+    void report(const std::string& what) const { errors_->add(path_, what); }
+    /// Whether a field of that name is present and not null.
+    bool has(const std::string& name) const { return child(name).value_ != nullptr; }
+    /// The field of that name; one that is missing is reported.
+    JsonField operator[](const std::string& name) const;
+    std::vector<JsonField> items() const;
+
+    std::string text() const;
+    double number() const;  // finite
+    double non_negative() const;
+    Millis duration() const;
+    double fraction() const;  // from 0 to 1
+    bool flag() const;
+    template <class T = std::uint32_t>
+    T unsigned_integer() const;
+    template <class Protocol>
+    boost::asio::ip::basic_endpoint<Protocol> endpoint() const;
+    /// The value that stands for the text. The first one of `names` if the text is unknown.
+    template <class T>
+    T named(const std::vector<std::pair<const char*, T>>& names) const;
+
+private:
+    JsonField child(const std::string& name) const;
+    // False also for a missing value, which has been reported as such.
+    bool is(bool (nlohmann::json::*test)() const noexcept, const char* type) const;
+
+    const nlohmann::json* value_;
+    std::string path_;
+    ValidationErrors* errors_;
+};
+
+template <class T>
+T JsonField::unsigned_integer() const {
+    if (!is(&nlohmann::json::is_number, "a whole number")) return 0;
+    if (!value_->is_number_integer() || (!value_->is_number_unsigned() && value_->get<std::int64_t>() < 0)) {
+        report("is not a whole number");
+        return T{};
+    }
+    const auto integer = value_->get<std::uint64_t>();
+    if (integer > std::numeric_limits<T>::max()) {
+        report("is too large");
+        return T{};
+    }
+    return static_cast<T>(integer);
+}
+
+template <class Protocol>
+boost::asio::ip::basic_endpoint<Protocol> JsonField::endpoint() const {
+    if (!is(&nlohmann::json::is_string, "a text")) return {};
+    const auto parsed = parse_address_and_port(text());
+    if (!parsed) {
+        report("is not address:port");
+        return {};
+    }
+    return {parsed->address, parsed->port};
+}
+
+template <class T>
+T JsonField::named(const std::vector<std::pair<const char*, T>>& names) const {
+    if (!is(&nlohmann::json::is_string, "a text")) return names.front().second;
+    const std::string wanted = text();
+    for (const auto& [name, value] : names)
+        if (wanted == name) return value;
+    report("is not a known word");
+    return names.front().second;
+}
+
+}  // namespace ochregrade::sidecar
