--- /dev/null
+++ b/src/control/metrics.cpp
@@ -0,0 +1,172 @@
+#include "control/metrics.hpp"
+
+#include <sstream>
+#include <string_view>
+
+#include "process/node.hpp"
+
+namespace ochregrade::sidecar {
+
+namespace {
+
+// Writes families of samples in the text format.
+class MetricsWriter {
+public:
+    void family(const char* name, const char* type, const char* help) {
+        text_ << "# HELP ochregrade_" << name << ' ' << help << "\n# TYPE ochregrade_" << name << ' ' << type
+              << '\n';
+    }
+    // `labels` with their braces, or empty.
+    template <class T>
+    void sample(const char* name, T value, const std::string& labels = "") {
+        text_ << "ochregrade_" << name << labels << ' ' << value << '\n';
+    }
+    template <class T>
+    void gauge(const char* name, T value, const char* help) {
+        family(name, "gauge", help);
+        sample(name, value);
+    }
+    template <class T>
+    void counter(const char* name, T value, const char* help) {
+        family(name, "counter", help);
+        sample(name, value);
+    }
+    // One sample for each element of `counts`, labelled with label_at(its index).
+    template <class Counts, class LabelAt>
+    void samples(const char* name, const Counts& counts, const char* label, LabelAt label_at,
+                 const std::string& other_labels = "") {
+        for (std::size_t i = 0; i < counts.size(); ++i)
+            sample(name, counts[i], "{" + other_labels + label + "=\"" + std::string(label_at(i)) + "\"}");
+    }
+    std::string text() const { return text_.str(); }
+
+private:
+    std::ostringstream text_;
+};
+
+// Label of an enumerator by its index.
+template <class Enum>
+std::string_view label_of(std::size_t index) {
+    return to_string(static_cast<Enum>(index));
+}
+
+std::string_view retry_label(std::size_t index) {
+    return index < kOutcomeCount ? label_of<Outcome>(index) : std::string_view("in_flight");
+}
+
+void write_requests(MetricsWriter& out, const BalancerDriver::Totals& totals) {
+    out.counter("requests_total", totals.arrived, "Requests taken.");
+    out.family("answers_total", "counter", "Final answers by kind; left: the client did not wait.");
+    out.sample("answers_total", totals.served, "{result=\"served\"}");
+    out.sample("answers_total", totals.rejected, "{result=\"refused\"}");
+    out.sample("answers_total", totals.failed, "{result=\"failed\"}");
+    out.sample("answers_total", totals.forwarded_errors, "{result=\"passed_on\"}");
+    out.sample("answers_total", totals.client_disconnects, "{result=\"left\"}");
+    out.counter("attempts_total", totals.attempts, "Attempts at servers.");
+    out.family("retries_total", "counter", "Attempts after the first, by how the one before ended.");
+    out.samples("retries_total", totals.retries, "after", retry_label);
+    out.family("refusals_total", "counter", "Requests answered 503, by reason.");
+    out.samples("refusals_total", totals.rejections, "reason", label_of<EndReason>);
+    out.family("failures_total", "counter", "Requests answered 502, by reason.");
+    out.samples("failures_total", totals.failures, "reason", label_of<EndReason>);
+}
+
+void write_closes(MetricsWriter& out, const Node& node) {
+    out.family("closes_total", "counter", "Connections closed, by side and reason.");
+    out.samples("closes_total", node.listener().closes(), "reason", label_of<CloseReason>,
+                "side=\"clients\",");
+    out.samples("closes_total", node.sidecar().server_closes(), "reason", label_of<CloseReason>,
+                "side=\"servers\",");
+}
+
+void write_rules(MetricsWriter& out, const BalancerDriver& sidecar) {
+    const auto& counts = sidecar.rule_guard().counts();
+    out.family("sends_withheld_total", "counter", "Attempts that the rule guard kept from being written.");
+    out.samples("sends_withheld_total", counts.withheld, "reason", label_of<Withheld>);
+    out.family("rule_violations_total", "counter",
+               "Rules broken, or that would have been but for the guard.");
+    out.samples("rule_violations_total", counts.violations, "rule", label_of<Violation>);
+    out.counter("probes_total", sidecar.totals().probes, "Probes of servers.");
+    out.counter("peer_messages_total", sidecar.totals().gossip_sent, "Datagrams to other sidecars.");
+}
+
+void write_gauges(MetricsWriter& out, const Node& node) {
+    const BalancerDriver::Usage usage = node.usage();
+    out.gauge("unanswered", node.sidecar().pending_requests(), "Requests without a final answer.");
+    out.family("connections", "gauge", "Open connections.");
+    out.sample("connections", node.listener().connections(), "{side=\"clients\"}");
+    out.sample("connections", usage.connections, "{side=\"servers\"}");
+    out.gauge("servers", usage.endpoints, "Servers known.");
+    out.gauge("servers_removed", usage.ejected, "Servers out of the pool after failures (outlier ejection).");
+    out.gauge("list_seq", node.discovery().seq(), "Number of the list of servers held.");
+}
+
+void write_config(MetricsWriter& out, const Node& node) {
+    const ConfigCounts& counts = node.counts();
+    out.gauge("config_generation", node.versions().current().number(), "Generation in force.");
+    out.gauge("config_on_trial", node.versions().canary() ? 1 : 0, "Whether it is on trial.");
+    out.family("config_changes_total", "counter", "Changes of the configuration by how they ended.");
+    out.sample("config_changes_total", counts.applied, "{result=\"applied\"}");
+    out.sample("config_changes_total", counts.rejected, "{result=\"refused\"}");
+    out.sample("config_changes_total", counts.unchanged, "{result=\"unchanged\"}");
+    out.sample("config_changes_total", counts.rolled_back, "{result=\"rolled_back\"}");
+    out.sample("config_changes_total", counts.canaries_rolled_back, "{result=\"taken_back\"}");
+}
+
+void write_datagrams(MetricsWriter& out, const replication::Replica& replica) {
+    const auto& counts = replica.counts();
+    out.gauge("fleet_members_alive", replica.alive(), "Members of the shared state held to run.");
+    out.counter("fleet_datagrams_sent_total", counts.sent, "Datagrams of the shared state sent.");
+    out.counter("fleet_bytes_sent_total", counts.sent_bytes, "Bytes of them.");
+    out.counter("fleet_datagrams_received_total", counts.received, "Datagrams of the shared state received.");
+    out.family("fleet_datagrams_dropped_total", "counter", "Datagrams that could not be read, by cause.");
+    out.samples("fleet_datagrams_dropped_total", counts.faults, "cause", label_of<replication::Fault>);
+    out.counter("fleet_unknown_members_total", counts.unknown_members,
+                "Items about numbers beyond the tier.");
+    out.counter("fleet_far_lives_total", counts.far_lives, "Items of lives too far ahead of the clock.");
+    out.counter("fleet_refuted_total", counts.refuted, "Untrue things said of this sidecar, refuted.");
+    out.counter("fleet_suspected_total", counts.suspected, "Members suspected after a probe of ours.");
+    out.counter("fleet_stalls_total", counts.stalls, "Times this process stood still.");
+}
+
+void write_replication(MetricsWriter& out, const ReplicationDriver& replication) {
+    write_datagrams(out, replication.replica());
+    const auto& endpoints = replication.endpoints_follower();
+    const auto& settings = replication.settings_follower();
+    out.counter("fleet_list_calls_total", endpoints.calls(), "Lists asked for since others had newer.");
+    out.counter("fleet_settings_reads_total", settings.calls(), "The same for the file.");
+    out.counter("fleet_unfounded_claims_total", endpoints.unfounded() + settings.unfounded(),
+                "Claims of newer versions that nothing was found of.");
+}
+
+void write_state_store(MetricsWriter& out, const StateStore& store) {
+    const auto counts = store.counts();
+    out.counter("state_writes_total", counts.written, "Records written to the state folder.");
+    out.counter("state_write_failures_total", counts.failed, "Records that could not be written.");
+    out.counter("state_bytes_total", counts.bytes, "Bytes of the records written.");
+}
+
+void write_commit_times(MetricsWriter& out, const ConfigCounts& counts) {
+    constexpr Millis kMillisPerSecond = 1000;
+    out.gauge("config_commit_seconds_max", counts.longest_commit / kMillisPerSecond,
+              "Longest pause of the loop for a commit.");
+    out.gauge("config_change_seconds_max", counts.longest_change / kMillisPerSecond,
+              "The same with checking and preparing.");
+}
+
+}  // namespace
+
+std::string render_metrics(const Node& node) {
+    MetricsWriter out;
+    write_requests(out, node.sidecar().totals());
+    write_closes(out, node);
+    write_rules(out, node.sidecar());
+    write_gauges(out, node);
+    write_config(out, node);
+    if (const ReplicationDriver* replication = node.replication()) write_replication(out, *replication);
+    if (const StateStore* store = node.state_store()) write_state_store(out, *store);
+    write_commit_times(out, node.counts());
+    return out.text();
+}
+
+}  // namespace ochregrade::sidecar
