--- /dev/null
+++ b/src/recovery/timestamps.cpp
@@ -0,0 +1,40 @@
+#include "recovery/timestamps.hpp"
+
+#include <algorithm>
+#include <ctime>
+#include <fstream>
+
+namespace ochregrade::sidecar {
+
+namespace {
+
+// Clocks of one machine agree within this.
+constexpr Millis kClockTolerance = 1000;
+
+Millis read_clock(clockid_t clock) {
+    timespec time{};
+    clock_gettime(clock, &time);
+    return static_cast<Millis>(time.tv_sec) * 1e3 + static_cast<Millis>(time.tv_nsec) / 1e6;
+}
+
+}  // namespace
+
+Timestamps system_timestamps() {
+    Timestamps now{read_clock(CLOCK_REALTIME), read_clock(CLOCK_BOOTTIME), {}};
+    std::ifstream("/proc/sys/kernel/random/boot_id") >> now.boot_id;
+    return now;
+}
+
+std::optional<Millis> age(const Timestamps& then, const Timestamps& now) {
+    if (!then.boot_id.empty() && then.boot_id == now.boot_id) {
+        const Millis elapsed = now.uptime - then.uptime;
+        if (elapsed < -kClockTolerance) return {};
+        return std::max(0.0, elapsed);
+    }
+    // Another boot: what was written before it is at least as old as it is.
+    const Millis elapsed = now.wall - then.wall;
+    if (!(elapsed >= -kClockTolerance)) return {};
+    return std::max({0.0, elapsed, now.uptime});
+}
+
+}  // namespace ochregrade::sidecar
--- a/tests/recovery/state_store_test.cpp
+++ b/tests/recovery/state_store_test.cpp
@@ -90,7 +90,7 @@
     r = disk.live();
     EXPECT_TRUE(r.endpoints);
     EXPECT_TRUE(r.snapshots.empty()) << "over, and too old";
-    disk.now = later(kOldestList + 1);
+    disk.now = later(kMaxEndpointsAge + 1);
     EXPECT_FALSE(disk.live().endpoints);
 }
 
@@ -277,7 +277,7 @@
         auto keeper = disk.keeper();
         const RecoveredState r = keeper->recover();
         Start s = decide_start(config, r);
-        s.keeper = std::move(keeper);
+        s.state_store = std::move(keeper);
         return s;
     };
     disk.live([&](StateStore& k) {
