--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,5 +1,6 @@
-// ochregrade: one real sidecar. Exit codes: 0 stopped as asked, 1 failed to start or run, 2 bad
-// configuration. --check only says whether NODE_CONFIG names a good one, --fields lists what it may hold.
+// The program ochregrade: one sidecar. Exit codes: 0 stopped as asked, 1 failed to start or run, 2 invalid
+// configuration or usage. --check only validates the file that NODE_CONFIG names, --fields prints the table
+// of its fields.
 #include <csignal>
 #include <iostream>
 #include <nlohmann/json.hpp>
@@ -12,14 +13,19 @@
 
 namespace {
 
+// Exit codes.
+constexpr int kStopped = 0;
+constexpr int kFailed = 1;
+constexpr int kInvalidConfig = 2;
+
 using namespace ochregrade::sidecar;
 
-// Signals that a handler takes. While no handler is there yet, or no longer, any of them would end the
+// Signals with a handler. Without one, before it is installed or after it is gone, any of them would kill the
 // process.
 constexpr int kHandledSignals[] = {SIGTERM, SIGINT, SIGHUP};
 
-// SIG_BLOCK or SIG_UNBLOCK, for this thread and those that it starts from here on. What comes while they are
-// blocked is kept until they no longer are.
+// `how`: SIG_BLOCK or SIG_UNBLOCK, for this thread and those that it starts from here on. Blocked signals
+// stay pending.
 void mask_signals(int how) {
     sigset_t set;
     sigemptyset(&set);
@@ -35,7 +41,7 @@
     });
 }
 
-// Until it has been told to end and owes nothing any more.
+// Returns after a planned stop, when no request is unanswered.
 void serve(asio::io_context& io, asio::signal_set& stop, asio::signal_set& reload) {
     Node node(io, prepare_start());
     stop.async_wait([&](error_code ec, int) {
@@ -47,7 +53,7 @@
         node.reload();
     };
     reload.async_wait(on_reload);
-    // What goes wrong in one handler, memory that can't be had above all, must not end all others' requests.
+    // An exception in one handler, std::bad_alloc above all, must not end the requests of all others.
     while (!io.stopped()) {
         try {
             io.run();
@@ -60,13 +66,14 @@
 void run() {
     mask_signals(SIG_BLOCK);
     const auto io = open_with_retry([] { return std::make_unique<asio::io_context>(1); });
-    const auto stop = open_signals(*io, {SIGTERM, SIGINT}), reload = open_signals(*io, {SIGHUP});
+    const auto stop = open_signals(*io, {SIGTERM, SIGINT});
+    const auto reload = open_signals(*io, {SIGHUP});
     mask_signals(SIG_UNBLOCK);
     serve(*io, *stop, *reload);
-    mask_signals(SIG_BLOCK);  // for good: one that comes between here and the process's end changes nothing
+    mask_signals(SIG_BLOCK);  // for good: a signal between here and the process's end has no effect
 }
 
-void check() {
+void check_config() {
     const nlohmann::json document = start_document();
     read_config(document);
     log_unknown_fields(document);
@@ -75,24 +82,24 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    std::signal(SIGPIPE, SIG_IGN);  // whoever reads the log may leave; the sidecar serves on
+    std::signal(SIGPIPE, SIG_IGN);  // the log's reader may go away; the sidecar goes on
     const std::string_view argument = argc > 1 ? argv[1] : "";
     if (argument == "--fields") {
         std::cout << fields_as_markdown();
-        return 0;
+        return kStopped;
     }
     if (argc > 2 || (argc == 2 && argument != "--check")) {
         std::cerr << "usage: ochregrade [--check | --fields]\n";
-        return 2;
+        return kInvalidConfig;
     }
     try {
-        argument == "--check" ? check() : run();
+        argument == "--check" ? check_config() : run();
     } catch (const ConfigError& error) {
         std::cerr << "ochregrade: " << error.what() << '\n';
-        return 2;
+        return kInvalidConfig;
     } catch (const std::exception& error) {
         std::cerr << "ochregrade: " << error.what() << '\n';
-        return 1;
+        return kFailed;
     }
-    return 0;
+    return kStopped;
 }
