--- /dev/null
+++ b/tests/control/config_schema_test.cpp
@@ -0,0 +1,41 @@
+// The table of the configuration's fields.
+#include "control/config_schema.hpp"
+
+#include <fstream>
+#include <sstream>
+
+#include "control/config_fixture.hpp"
+
+namespace ochregrade::sidecar {
+namespace {
+
+TEST(Fields, TheDocsSayWhatTheTableSays) {
+    std::ifstream file(OCHREGRADE_DOCS "/CONFIGURATION.md");
+    std::stringstream text;
+    text << file.rdbuf();
+    EXPECT_NE(text.str().find(fields_as_markdown()), std::string::npos)
+        << "put what ochregrade --fields prints into docs/CONFIGURATION.md";
+}
+
+TEST(Fields, UnknownOnesAreNamedByTheirPath) {
+    json config = everything();
+    EXPECT_EQ(unknown_fields(config), std::vector<std::string>{});
+    config["setings"] = 1;
+    config["limits"]["socket"] = 5;
+    config["settings"]["classes"][1]["effects"] = "once";
+    EXPECT_EQ(unknown_fields(config),
+              (std::vector<std::string>{"limits.socket", "setings", "settings.classes[1].effects"}));
+    config["known"]["hosts"][0]["whatever"] = 1;
+    config["admin"] = "the platform's own";
+    EXPECT_EQ(unknown_fields(config).size(), 4u) << "what lies below known is discovery's";
+}
+
+TEST(Fields, AVersionLeavesOutStartOnlyFields) {
+    const json kept = version_document(everything());
+    EXPECT_FALSE(kept.contains("seed"));
+    EXPECT_FALSE(kept.contains("known"));
+    EXPECT_EQ(kept.at("settings").at("classes").size(), 3u);
+}
+
+}  // namespace
+}  // namespace ochregrade::sidecar
--- /dev/null
+++ b/tests/process/discovery_restart_test.cpp
@@ -0,0 +1,28 @@
+// A discovery that restarts its sequence numbers.
+#include "process/node_fixture.hpp"
+
+namespace ochregrade::sidecar {
+namespace {
+
+// One lower number may be a late answer; lower ones that last are another discovery's.
+TEST(DiscoveryRestart, IsFollowedOnceItLasts) {
+    FakeServer first, second;
+    FakeDiscovery discovery;
+    Running sidecar(a_config(discovery.at(), {host("s1", first.at())}));
+    const auto version = [&] {
+        return sidecar.in_loop([&] {
+            const DiscoveryClient& d = sidecar.node().discovery();
+            return std::pair<std::uint64_t, std::uint64_t>(d.incarnation(), d.seq());
+        });
+    };
+    discovery.say(9, true, {host("s1", first.at())});
+    discovery.wait_for(2);
+    discovery.say(2, true, {host("s2", second.at())});
+    discovery.wait_for(3);
+    EXPECT_EQ(version(), std::pair(std::uint64_t{1}, std::uint64_t{9}));
+    for (int i = 0; i < 60; ++i) discovery.say(2, true, {host("s2", second.at())});
+    EXPECT_TRUE(until([&] { return version() == std::pair(std::uint64_t{2}, std::uint64_t{2}); }));
+}
+
+}  // namespace
+}  // namespace ochregrade::sidecar
