--- a/tests/recovery/crash_test.cpp
+++ b/tests/recovery/crash_test.cpp
@@ -4,64 +4,98 @@
 namespace ochregrade::sidecar {
 namespace {
 
-TEST(Killed, WhileItServesAndChangesItComesBackWithTheOldOrTheNewConfiguration) {
-    Fixture f;
-    std::uint64_t state = 20261201;
-    const auto roll = [&](std::uint64_t n) {
-        state = state * 6364136223846793005u + 1442695040888963407u;
-        return (state >> 33) % n;
-    };
-    std::atomic<bool> stop{false};
-    std::atomic<int> served{0};
-    std::vector<std::thread> clients;
-    for (int c = 0; c < 3; ++c)
-        clients.emplace_back([&] {
-            while (!stop) {
-                served += try_asking(f.listen, App::request("deposit")) == 200;
-                std::this_thread::sleep_for(std::chrono::milliseconds(1));
-            }
-        });
-    int acknowledged = 3, tried = 3, settled = 0;
-    for (int life = 0; life < 40; ++life) {
-        SCOPED_TRACE(life);
-        auto process = f.start();
-        f.wait_for_the_disk();  // that it has lived: else the rule on crash loops would end this
-        const int now = f.attempts();
-        EXPECT_TRUE(now == acknowledged || now == tried)
-            << f.place.log() << now << " is neither " << acknowledged << " nor " << tried;
-        acknowledged = tried = now;
-        json next = f.config;
-        tried = 4 + life;
-        next["settings"]["limits"]["max-attempts"] = tried;
-        if (roll(3) == 0) {  // on the disk for certain
-            Operator(f.admin).post("/v1/config", next);
-            f.wait_for_the_disk();
-            acknowledged = tried;
-            ++settled;
-        } else {  // killed somewhere in between
-            std::thread operators([&] {
-                try {
-                    Operator(f.admin).call("POST", "/v1/config", next.dump());
-                } catch (const boost::system::system_error&) {
+// Clients that send requests until the object ends.
+class Clients {
+public:
+    explicit Clients(const Fixture& fixture) {
+        for (int client = 0; client < 3; ++client)
+            threads_.emplace_back([this, &fixture] {
+                while (!stop_) {
+                    served_ += try_asking(fixture.listen, App::request("deposit")) == 200;
+                    std::this_thread::sleep_for(std::chrono::milliseconds(1));
                 }
             });
-            std::this_thread::sleep_for(std::chrono::microseconds(roll(6000)));
-            process->end(SIGKILL);
+    }
+    ~Clients() { stop(); }
+    // How many requests were served.
+    int stop() {
+        stop_ = true;
+        for (std::thread& thread : threads_)
+            if (thread.joinable()) thread.join();
+        return served_;
+    }
+
+private:
+    std::atomic<bool> stop_{false};
+    std::atomic<int> served_{0};
+    std::vector<std::thread> threads_;
+};
+
+class KilledUnderChanges : public testing::Test {
+protected:
+    std::uint64_t random(std::uint64_t n) {
+        state_ = state_ * 6364136223846793005u + 1442695040888963407u;
+        return (state_ >> 33) % n;
+    }
+    static void post_ignoring_errors(const tcp::endpoint& admin, const json& config) {
+        try {
+            Operator(admin).call("POST", "/v1/config", config.dump());
+        } catch (const boost::system::system_error&) {
+        }
+    }
+    // The process starts with a configuration that was on the disk, or was on its way there.
+    std::unique_ptr<Process> start_and_check() {
+        auto process = fixture.start();
+        fixture.wait_for_the_disk();  // so that the run is confirmed: else the crash loop rule would end this
+        const int attempts = fixture.attempts();
+        EXPECT_TRUE(attempts == acknowledged || attempts == tried)
+            << fixture.place.log() << attempts << " is neither " << acknowledged << " nor " << tried;
+        acknowledged = tried = attempts;
+        return process;
+    }
+    // True: it was on the disk before the kill.
+    bool change_and_kill(Process& process, int attempts) {
+        json next = fixture.config;
+        next["settings"]["limits"]["max-attempts"] = tried = attempts;
+        const bool settles = random(3) == 0;
+        if (settles) {
+            Operator(fixture.admin).post("/v1/config", next);
+            fixture.wait_for_the_disk();
+            acknowledged = tried;
+        } else {
+            std::thread operators([&] { post_ignoring_errors(fixture.admin, next); });
+            std::this_thread::sleep_for(std::chrono::microseconds(random(6000)));
+            process.end(SIGKILL);
             operators.join();
         }
-        process->end(SIGKILL);
+        process.end(SIGKILL);
+        return settles;
+    }
+
+    Fixture fixture;
+    int acknowledged = 3, tried = 3;  // values of max-attempts
+
+private:
+    std::uint64_t state_ = 20261201;
+};
+
+TEST_F(KilledUnderChanges, WhileItServesItComesBackWithTheOldOrTheNewConfiguration) {
+    Clients clients(fixture);
+    int settled = 0;
+    for (int run = 0; run < 40; ++run) {
+        SCOPED_TRACE(run);
+        const auto process = start_and_check();
+        settled += change_and_kill(*process, 4 + run);
     }
-    stop = true;
-    for (auto& t : clients) t.join();
+    EXPECT_GT(clients.stop(), 0);
     EXPECT_GT(settled, 0);
-    EXPECT_GT(served, 0);
-    std::map<std::string, int> ran;
-    for (const HttpRequest& r : f.server.seen()) ++ran[std::string(r["X-Correlation-Id"])];
-    for (const auto& [id, n] : ran)
-        EXPECT_EQ(n, 1) << id << ": what was lost with a process is not sent again";
+    std::map<std::string, int> runs;
+    for (const HttpRequest& request : fixture.server.seen()) ++runs[std::string(request["X-Correlation-Id"])];
+    for (const auto& [id, count] : runs)
+        EXPECT_EQ(count, 1) << id << ": what was lost with a process is not sent again";
 }
 
-TEST(Killed, ATrialUnderWayIsNotTakenAsGood) {
+TEST(Killed, ACanaryUnderWayIsNotTakenAsGood) {
     Fixture f;
     auto process = f.start();
     process->end(SIGKILL);
@@ -83,7 +117,7 @@
     EXPECT_GT(Operator(f.admin).get("/v1/config").at("generation"), 2) << "numbers never come twice";
 }
 
-TEST(Killed, WhatMayBeGoneBackToIsStillThere) {
+TEST(Killed, RetainedVersionsAreStillThere) {
     Fixture f;
     auto process = f.start();
     json next = f.config;
@@ -145,7 +179,7 @@
     EXPECT_NE(f.place.log().find("lives were short"), std::string::npos) << "but kills are";
 }
 
-TEST(BadFile, EndsTheStartWithTwoUnlessALastKnownGoodMayStepIn) {
+TEST(BadFile, EndsTheStartWithTwoUnlessALastKnownGoodMayReplaceIt) {
     Fixture f;
     auto process = f.start();
     f.wait_for_the_disk();
