--- a/src/control/config_schema.cpp
+++ b/src/control/config_schema.cpp
@@ -113,7 +113,7 @@
            (path[parent.size()] == '.' || path[parent.size()] == '[');
 }
 
-Lookup look_up(std::string_view path) {
+Lookup find_field(std::string_view path) {
     Lookup found;
     for (const FieldInfo& info : kFields) {
         std::string_view known = info.path;
@@ -136,12 +136,12 @@
 
     // `path` names items of lists by their index, `pattern` by "[]" as in the table. None: left out.
     std::optional<json> copy(const json& value, const std::string& path, const std::string& pattern) {
-        const Lookup lookup = look_up(pattern);
-        if (lookup.field) {
-            if (lookup.field->kind == start_only) return std::nullopt;
+        const Lookup found = find_field(pattern);
+        if (found.field) {
+            if (found.field->kind == start_only) return std::nullopt;
             return value;
         }
-        if (!lookup.has_fields_below) {
+        if (!found.has_fields_below) {
             if (unknown_.size() < max_unknown_) unknown_.push_back(path);
             return std::nullopt;
         }
@@ -154,9 +154,10 @@
 private:
     json copy_object(const json& value, const std::string& path, const std::string& pattern) {
         json result = json::object();
-        const std::string dot = path.empty() ? "" : ".";
+        const std::string path_prefix = path.empty() ? "" : path + ".";
+        const std::string pattern_prefix = pattern.empty() ? "" : pattern + ".";
         for (const auto& [name, item] : value.items())
-            if (auto part = copy(item, path + dot + name, pattern + dot + name))
+            if (auto part = copy(item, path_prefix + name, pattern_prefix + name))
                 result[name] = std::move(*part);
         return result;
     }
--- a/src/control/config_schema.hpp
+++ b/src/control/config_schema.hpp
@@ -1,4 +1,5 @@
-// The table of the configuration's fields: what checks, warnings and docs/CONFIGURATION.md all follow.
+// The table of the configuration's fields, which unknown_fields(), version_document() and the table in
+// docs/CONFIGURATION.md derive from.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -9,15 +10,14 @@
 namespace ochregrade::sidecar {
 
 enum class FieldKind {
-    live,        // taken over by every new generation
-    start_only,  // read at the start; a later file may well say otherwise, which changes nothing
-    fixed,       // a change is refused while the program runs
-    unused       // the platform's; accepted and not heeded
+    live,        // changes with each version
+    start_only,  // read at the start; ignored in candidates
+    fixed,       // candidates that change it are rejected
+    unused       // the platform's; accepted and ignored
 };
 
-// "[]" stands for each item of a list, a last "*" for all that lies below.
 struct FieldInfo {
-    const char* path;
+    const char* path;  // "[]" stands for each item of a list, a final "*" for everything below
     FieldKind kind;
     const char* form;
     const char* meaning;
@@ -25,13 +25,13 @@
 std::span<const FieldInfo> config_fields();
 const char* to_string(FieldKind kind);
 
-// The paths in a configuration that the table does not know, at most `most` of them.
+/// The paths in a configuration that the table does not have, at most `most` of them.
 std::vector<std::string> unknown_fields(const nlohmann::json& config, std::size_t most = 20);
 
-// The configuration without what is unknown or read at the start only: what a generation consists of.
+/// The configuration without unknown and start-only fields: the content of a version.
 nlohmann::json version_document(const nlohmann::json& config);
 
-// The table as it stands in docs/CONFIGURATION.md.
+/// The table as it is in docs/CONFIGURATION.md.
 std::string fields_as_markdown();
 
 }  // namespace ochregrade::sidecar
