--- a/src/proxy/balancer_driver_actions.cpp
+++ b/src/proxy/balancer_driver_actions.cpp
@@ -128,8 +128,8 @@
     evidence.successes = to_byte(std::round(action.successes));
     evidence.failures = to_byte(std::round(action.failures));
     evidence.latency_ratio = to_byte(std::round(action.latency_ratio * kLatencyRatioUnits));
-    evidence.flags = static_cast<std::uint8_t>((action.ejected ? replication::kRemoved : 0) |
-                                               (action.recovered ? replication::kRestored : 0));
+    evidence.flags = static_cast<std::uint8_t>((action.ejected ? replication::kEjected : 0) |
+                                               (action.recovered ? replication::kRecovered : 0));
     on_evidence(endpoint_key(action.endpoint, endpoint->started_at), evidence);
 }
 
--- a/src/proxy/request_validation.hpp
+++ b/src/proxy/request_validation.hpp
@@ -20,9 +20,4 @@
 /// the class is unknown; none if the request is valid.
 std::optional<http::status> request_error(const HttpRequest& request, const Config& config);
 
-/// The former name of request_error().
-inline std::optional<http::status> form_fault(const HttpRequest& request, const Config& config) {
-    return request_error(request, config);
-}
-
 }  // namespace ochregrade::sidecar
--- a/src/replication/codec.hpp
+++ b/src/replication/codec.hpp
@@ -109,9 +109,6 @@
 enum class DecodeError { too_short, too_long, format, checksum, kind, item };
 constexpr int kDecodeErrors = 6;
 const char* to_string(DecodeError error);
-// The names the operator endpoint still uses for these two.
-using Fault = DecodeError;
-constexpr int kFaults = kDecodeErrors;
 
 /// Reads no byte beyond those given. A decoded datagram encodes to the same bytes again.
 std::variant<Datagram, DecodeError> decode(std::span<const std::uint8_t> bytes);
--- a/src/replication/records.hpp
+++ b/src/replication/records.hpp
@@ -54,9 +54,6 @@
 constexpr std::uint8_t kEjected = 1;    // ejected by the origin
 constexpr std::uint8_t kRecovered = 2;  // returned to the pool after a successful half-open trial
 constexpr std::uint8_t kWithdrawn = 4;  // draining or gone in the origin's endpoint list
-// The names the balancer driver still uses.
-constexpr std::uint8_t kRemoved = kEjected;
-constexpr std::uint8_t kRestored = kRecovered;
 
 /// What an origin acts on (docs/CONFIGURATION.md): epoch and hash of its settings, incarnation and sequence
 /// number of its endpoint list. Epoch and incarnation only grow.
--- a/src/replication/replica.cpp
+++ b/src/replication/replica.cpp
@@ -64,7 +64,7 @@
 }
 
 void Replica::process_paused(Millis now, Millis pause, std::vector<Outgoing>& out) {
-    ++counts_.stalls;
+    ++counts_.process_pauses;
     failure_detector_.process_paused(now, pause);
     if (!left_) catch_up_.restart(now, out);
 }
@@ -121,7 +121,7 @@
     counts_.received_bytes += bytes.size();
     const std::variant<Datagram, DecodeError> decoded = decode(bytes);
     if (const auto* error = std::get_if<DecodeError>(&decoded)) {
-        ++counts_.faults[static_cast<std::size_t>(*error)];
+        ++counts_.decode_errors[static_cast<std::size_t>(*error)];
         return;
     }
     process(now, from, std::get<Datagram>(decoded), out);
@@ -192,7 +192,7 @@
 
 bool Replica::is_plausible_epoch(Millis now, std::uint32_t epoch) {
     if (epoch < now / 1000 + kMaxEpochAhead) return true;
-    ++counts_.far_lives;
+    ++counts_.implausible_epochs;
     return false;
 }
 
--- a/src/replication/replica_options.hpp
+++ b/src/replication/replica_options.hpp
@@ -42,16 +42,16 @@
 /// Counters since the construction.
 struct ReplicaCounts {
     std::uint64_t sent = 0, sent_bytes = 0, received = 0, received_bytes = 0;
-    std::array<std::uint64_t, kDecodeErrors> faults{};  // datagrams not decoded, by DecodeError
-    std::uint64_t unknown_members = 0;                  // items about member ids beyond the fleet
-    std::uint64_t far_lives = 0;                        // items with an epoch too far ahead of the clock
-    std::uint64_t refuted = 0;                          // false statements about this member
-    std::uint64_t suspected = 0, died = 0;              // by this member's own probes and timers
+    std::array<std::uint64_t, kDecodeErrors> decode_errors{};  // datagrams not decoded, by DecodeError
+    std::uint64_t unknown_members = 0;                         // items about member ids beyond the fleet
+    std::uint64_t implausible_epochs = 0;   // items with an epoch too far ahead of the clock
+    std::uint64_t refuted = 0;              // false statements about this member
+    std::uint64_t suspected = 0, died = 0;  // by this member's own probes and timers
     std::uint64_t syncs = 0, repaired = 0;  // digests sent; items of answers that changed something
     std::uint64_t broadcasts = 0;
-    std::uint64_t confirmations = 0;  // origins asked to confirm indirect evidence
-    std::uint64_t stalls = 0;         // pauses of this process
-    std::uint64_t unanswered = 0;     // requests beyond the rate limit of answers
+    std::uint64_t confirmations = 0;   // origins asked to confirm indirect evidence
+    std::uint64_t process_pauses = 0;  // pauses of this process
+    std::uint64_t unanswered = 0;      // requests beyond the rate limit of answers
 };
 
 }  // namespace ochregrade::replication
--- a/tests/replication/fleet_convergence_test.cpp
+++ b/tests/replication/fleet_convergence_test.cpp
@@ -196,7 +196,7 @@
     f.resume(4);
     EXPECT_TRUE(f.run_until([&] { return f.at(4).member(1).versions() && all_know_who_runs(f); }, 8000));
     EXPECT_EQ(f.at(4).counts().suspected, suspected);
-    EXPECT_EQ(f.at(4).counts().stalls, 1u);
+    EXPECT_EQ(f.at(4).counts().process_pauses, 1u);
 }
 
 TEST(Fleet, APartitionHealsEitherWay) {
--- a/tests/replication/replica_test.cpp
+++ b/tests/replication/replica_test.cpp
@@ -59,7 +59,7 @@
     Bytes odd = encode(Datagram{Kind::gossip, kEpoch, 0, 0, 0, {WantItem{3}}});
     odd.pop_back();
     single.replica.receive(single.now, 1, odd, single.out);
-    const auto& f = single.replica.counts().faults;
+    const auto& f = single.replica.counts().decode_errors;
     EXPECT_EQ(f[static_cast<std::size_t>(DecodeError::too_long)], 1u);
     EXPECT_EQ(f[static_cast<std::size_t>(DecodeError::too_short)], 1u);
     EXPECT_EQ(f[static_cast<std::size_t>(DecodeError::format)], 1u);
@@ -78,7 +78,7 @@
             EvidenceItem{5, kEpoch + 9000, 1, 1, {0, 9, 0, 0}, 50}, WantItem{77}, FingerprintItem{60000, 1}});
     EXPECT_EQ(single.replica.fingerprint(), before);
     EXPECT_EQ(single.replica.counts().unknown_members, 2u);
-    EXPECT_EQ(single.replica.counts().far_lives, 2u);
+    EXPECT_EQ(single.replica.counts().implausible_epochs, 2u);
 }
 
 // A forger may write in everybody's name, but its address identifies only itself.
