--- a/src/lab/simulated_network.cpp
+++ b/src/lab/simulated_network.cpp
@@ -87,7 +87,7 @@
     push({std::max(due, now_), 0, i, i, member.starts, true, {}});
 }
 
-void SimFleet::inject(std::size_t from, std::size_t to, replication::Bytes bytes) {
+void SimFleet::inject(std::size_t from, std::size_t to, const replication::Bytes& bytes) {
     ++datagrams_;
     bytes_ += bytes.size();
     if (on_send) on_send(from, to, bytes);
--- a/src/lab/simulated_network.hpp
+++ b/src/lab/simulated_network.hpp
@@ -51,7 +51,7 @@
     void say(std::size_t i, replication::EndpointKey server, const replication::Evidence& evidence);
     void say(std::size_t i, const replication::Versions& versions);
     /// As if `from` had sent these bytes, whatever they are.
-    void inject(std::size_t from, std::size_t to, replication::Bytes bytes);
+    void inject(std::size_t from, std::size_t to, const replication::Bytes& bytes);
 
     bool up(std::size_t i) const { return members_[i].replica != nullptr && !members_[i].paused; }
     const replication::Replica& at(std::size_t i) const { return *members_[i].replica; }
--- a/src/lab/summary.cpp
+++ b/src/lab/summary.cpp
@@ -31,7 +31,7 @@
 json load_figures(const std::vector<SecondFigures>& seconds, int from, const std::vector<double>& requests) {
     std::vector<double> jains, by_speed, windows, poisson_floors, max_over_mean;
     int seconds_with_idle = 0;
-    for (std::size_t i = static_cast<std::size_t>(from); i < seconds.size(); ++i) {
+    for (auto i = static_cast<std::size_t>(from); i < seconds.size(); ++i) {
         const SecondFigures& second = seconds[i];
         jains.push_back(second.jain);
         by_speed.push_back(second.jain_by_speed);
--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -176,6 +176,7 @@
 TEST(Pick, OnlyTwoAreLookedAt) {
     Rig rig = pool(10);
     std::vector<RequestId> busy;
+    busy.reserve(200);
     for (int i = 0; i < 200; ++i) busy.push_back(rig.request(0, 100000));
     std::map<EndpointId, int> load;
     for (const RequestId id : busy) ++load[rig.where(id)];
--- a/tests/common/log_test.cpp
+++ b/tests/common/log_test.cpp
@@ -49,7 +49,7 @@
     EXPECT_EQ(first.at("level"), "info");
     EXPECT_EQ(first.at("name"), "ochregrade");
     EXPECT_EQ(first.at("t").get<std::string>().back(), 'Z');
-    EXPECT_NO_THROW(nlohmann::json::parse(lines[1]));
+    EXPECT_TRUE(nlohmann::json::accept(lines[1]));
 }
 
 TEST(Log, ABurstIsCutAndWhatWasLeftOutIsSaid) {
--- a/tests/control/operator_endpoint_test.cpp
+++ b/tests/control/operator_endpoint_test.cpp
@@ -99,6 +99,7 @@
 TEST(OperatorEndpoint, OutlivesNoiseAndCallersThatSayNothing) {
     Running sidecar(with_admin(a_config(kNowhere, {host("s1", kNowhere)})));
     std::vector<std::unique_ptr<App>> silent;
+    silent.reserve(30);
     for (int i = 0; i < 30; ++i) silent.push_back(std::make_unique<App>(sidecar.admin));
     std::uint64_t state = 11;
     for (int i = 0; i < 200; ++i) {
--- a/tests/proxy/request_validation_test.cpp
+++ b/tests/proxy/request_validation_test.cpp
@@ -12,7 +12,7 @@
     unsigned status;
     bool closes;  // the rest of the connection can't be delimited, or is not worth reading
 };
-void PrintTo(const InvalidRequest& invalid, std::ostream* out) { *out << invalid.name; }
+std::ostream& operator<<(std::ostream& out, const InvalidRequest& invalid) { return out << invalid.name; }
 
 std::string request_with(const std::string& grade, const std::string& replace,
                          const std::string& replacement) {
--- a/tests/proxy/trace_test.cpp
+++ b/tests/proxy/trace_test.cpp
@@ -37,11 +37,15 @@
     EXPECT_EQ(trace_of(trace, id).at(3).at("after"), "error");
 
     const std::string metrics = Operator(f.admin).call("GET", "/metrics").body();
-    for (const char* line : {"ochregrade_retries_total{after=\"error\"} 2\n",
-                             "ochregrade_refusals_total{reason=\"attempts_used\"} 1\n",
-                             "ochregrade_rule_violations_total{rule=\"repeat\"} 0\n",
-                             "ochregrade_sends_withheld_total{reason=\"client_left\"} 0\n",
-                             "ochregrade_closes_total{side=\"clients\",reason=\"peer_closed\"}"})
+    for (const char* line : {R"(ochregrade_retries_total{after="error"} 2)"
+                             "\n",
+                             R"(ochregrade_refusals_total{reason="attempts_used"} 1)"
+                             "\n",
+                             R"(ochregrade_rule_violations_total{rule="repeat"} 0)"
+                             "\n",
+                             R"(ochregrade_sends_withheld_total{reason="client_left"} 0)"
+                             "\n",
+                             R"(ochregrade_closes_total{side="clients",reason="peer_closed"})"})
         EXPECT_NE(metrics.find(line), std::string::npos) << line << metrics;
 }
 
--- a/tests/simulator/balancer_host_test.cpp
+++ b/tests/simulator/balancer_host_test.cpp
@@ -133,7 +133,7 @@
     bad.replace(bad.find("rules.cold-from=0.16"), 20, "rules.cold-from=1.60");
     const Result result = run(mark(1) + bad + kOverToYou);
     EXPECT_NE(result.out.find("FAULT who=sidecar-3 words="), std::string::npos) << result.out;
-    EXPECT_NE(result.out.find("cold_from"), std::string::npos) << result.out;
+    EXPECT_NE(result.out.find("slow_start_least_share"), std::string::npos) << result.out;
 }
 
 TEST(BalancerHost, AMegabyteLongBatchIsAnsweredWhole) {
--- a/tests/soak/shim_control.py
+++ b/tests/soak/shim_control.py
@@ -3,7 +3,7 @@
 import mmap
 import struct
 
-# In the order of the enumeration in fault_slots.hpp.
+# In the order of the constants in fault_slots.hpp.
 CALL_FAULTS = (
     "short_write",
     "short_read",
--- a/tests/support/fake_upstream.hpp
+++ b/tests/support/fake_upstream.hpp
@@ -3,6 +3,7 @@
 
 #include <condition_variable>
 #include <list>
+#include <tuple>
 #include <vector>
 
 #include "support/test_connection.hpp"
@@ -56,7 +57,9 @@
             fillers_.emplace_back(io_, tcp::v4());
             fillers_.back().native_non_blocking(true);
             const tcp::endpoint to = acceptor_.local_endpoint();
-            ::connect(fillers_.back().native_handle(), to.data(), static_cast<socklen_t>(to.size()));
+            // Fills the backlog; it is under way, so the result says nothing.
+            std::ignore =
+                ::connect(fillers_.back().native_handle(), to.data(), static_cast<socklen_t>(to.size()));
         }
     }
     std::string at() const { return text_of(acceptor_.local_endpoint()); }
--- a/tests/support/process_fixture.hpp
+++ b/tests/support/process_fixture.hpp
@@ -42,6 +42,7 @@
                 variables.emplace_back(*v);
         for (auto& v : more) variables.push_back(std::move(v));
         std::vector<char*> env;
+        env.reserve(variables.size() + 1);
         for (auto& v : variables) env.push_back(v.data());
         env.push_back(nullptr);
         std::string program = OCHREGRADE_PROGRAM;
--- a/tests/support/running_sidecar.hpp
+++ b/tests/support/running_sidecar.hpp
@@ -60,7 +60,7 @@
         return in_loop([this] { return node_.usage(); });
     }
     Node& node() { return node_; }  // only from within in_loop
-    void stop(std::function<void()> done) {
+    void stop(const std::function<void()>& done) {
         asio::post(io_, [this, done] { node_.stop(done); });
     }
 
