--- a/bench/guarantee_rows.py
+++ b/bench/guarantee_rows.py
@@ -28,352 +28,419 @@
     test: str  # its GoogleTest name
 
 
-LISTENER = "src/net/listener.cpp"
-UPSTREAM = "src/net/upstream.cpp"
-SIDECAR = "src/net/sidecar.cpp"
-NODE = "src/net/node.cpp"
-DISCOVERY = "src/net/discovery.cpp"
-MODULE = "src/balance.cpp"
-GUARD = "src/net/rule_guard.cpp"
-STARTUP = "src/net/startup.hpp"
+LISTENER = "src/proxy/listener.cpp"
+SESSION = "src/proxy/client_session.cpp"
+SESSION_INPUT = "src/proxy/client_session_input.cpp"
+CONNECTION = "src/proxy/upstream_connection.cpp"
+POOL = "src/proxy/upstream_pool.cpp"
+DRIVER = "src/proxy/balancer_driver.cpp"
+PROXY_ENDPOINTS = "src/proxy/endpoint_table.cpp"
+RULE_GUARD = "src/proxy/rule_guard.cpp"
+NODE = "src/process/node.cpp"
+NODE_HEADER = "src/process/node.hpp"
+SHUTDOWN = "src/process/graceful_shutdown.cpp"
+RELOADER = "src/process/config_reloader.cpp"
+DISCOVERY = "src/discovery/discovery_client.cpp"
+BALANCER = "src/balancer/balancer.cpp"
+RETRY_POLICY = "src/balancer/retry_policy.cpp"
+SCHEDULER = "src/balancer/request_scheduler.cpp"
+ENDPOINT_WATCH = "src/balancer/endpoint_watch.cpp"
+ENDPOINTS = "src/balancer/endpoint_table.cpp"
+GOSSIP = "src/balancer/failure_gossip.cpp"
+SOCKET_IO = "src/common/socket_io.hpp"
+STARTUP = "src/common/open_with_retry.hpp"
+LOG = "src/common/log.cpp"
+MAIN = "src/main.cpp"
 
-NET = "ochregrade_net_tests"
-RULES = "ochregrade_tests"
-PROCESS = "ochregrade_crash_tests"
+PROXY_TESTS = "ochregrade_proxy_tests"
+PROGRAM_TESTS = "ochregrade_program_tests"
+PROCESS_TESTS = "ochregrade_process_tests"
+CRASH_TESTS = "ochregrade_crash_tests"
+BALANCER_TESTS = "ochregrade_balancer_tests"
 
 # Edits that more than one guarantee needs.
 CLOSED_WHEN_OVER = [
     Edit(
-        UPSTREAM,
-        "void Upstream::expire(AttemptKey key) { stop(key, Outcome::refused_connection, Outcome::overdue); }",
-        "void Upstream::expire(AttemptKey) {}",
+        POOL,
+        "void UpstreamPool::expire(AttemptKey key) { stop(key, Outcome::connect_failure, Outcome::timeout); }",
+        "void UpstreamPool::expire(AttemptKey) {}",
     ),
     Edit(
-        UPSTREAM,
-        "void Upstream::cancel(AttemptKey key) { stop(key, Outcome::superseded, Outcome::recalled); }",
-        "void Upstream::cancel(AttemptKey) {}",
+        POOL,
+        "void UpstreamPool::cancel(AttemptKey key) { stop(key, Outcome::not_sent, Outcome::cancelled); }",
+        "void UpstreamPool::cancel(AttemptKey) {}",
     ),
 ]
 LOOKED_AT_WHEN_IDLE = [
-    Edit(UPSTREAM, " || peek(link->socket) != Quiet::nothing) {", ") {"),
+    Edit(POOL, " || !connection->is_usable()) {", ") {"),
     Edit(
-        UPSTREAM,
-        (
-            "if (link->state == Link::State::idle && peek(link->socket) != Quiet::nothing)\n"
-            "            drop("
-        ),
-        "if (false)\n            drop(",
+        CONNECTION,
+        "if (state_ == State::idle && !is_usable()) owner_.close_connection(",
+        "if (false) owner_.close_connection(",
     ),
 ]
 
 GUARANTEES = [
     Guarantee(
         "check for a departed client before sending",
-        [Edit(SIDECAR, "client->notice_leaving();", "(void)client;")],
-        NET,
+        [Edit(DRIVER, "client->check_disconnected();", "(void)client;")],
+        PROXY_TESTS,
         "Departure.InTheKernelBehindTheRequestIsHeededBeforeItIsSentOn",
     ),
     Guarantee(
         "check for a departed client just before writing",
-        [Edit(UPSTREAM, "        if (!may_write(link, false)) return;\n", "")],
-        NET,
+        [Edit(CONNECTION, "        if (!owner_.may_write(shared_from_this(), false)) return;\n", "")],
+        PROXY_TESTS,
         "Departure.WhileAConnectionComesUpIsHeededBeforeItIsWrittenTo",
     ),
     Guarantee(
         "check for a departed client when a connection is established",
-        [Edit(SIDECAR, "[this](AttemptKey key, bool begun) { return may_write(key, begun); }", "{}")],
-        NET,
+        [
+            Edit(
+                DRIVER,
+                "[this](AttemptKey key, bool partly_written) { return may_write(key, partly_written); }",
+                "{}",
+            )
+        ],
+        PROXY_TESTS,
         "Departure.IsLookedForWhenAConnectionHasComeUp",
     ),
     # The findings of docs/incidents/2026-12-02-fault-hunt.md.
     Guarantee(
         "an aborted connection does not mean an empty backlog",
         [Edit(LISTENER, "acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));", "")],
-        PROCESS,
+        PROGRAM_TESTS,
         "AbortedConnection.IsNoEmptyQueue",
     ),
     Guarantee(
         "interrupted sends continue",
-        [Edit("src/net/socket_io.hpp", "} else if (errno != EINTR) {", "} else {")],
-        PROCESS,
+        [Edit(SOCKET_IO, "} else if (errno != EINTR) {", "} else {")],
+        PROGRAM_TESTS,
         "PartialCalls.LoseNoRequestAndNoAnswer",
     ),
     Guarantee(
         "check for a departed client before each further part",
-        [Edit(UPSTREAM, "if (!link->job->probe && !may_write(link, true)) return;", "")],
-        NET,
+        [
+            Edit(
+                CONNECTION,
+                "if (!exchange_->is_probe && !owner_.may_write(shared_from_this(), true)) return;",
+                "",
+            )
+        ],
+        PROXY_TESTS,
         "Departure.IsLookedForBeforeEachFurtherPart",
     ),
     Guarantee(
         "short pauses after failed discovery calls",
-        [Edit(MODULE, "kLongestResubscribe = 2000", "kLongestResubscribe = 8000")],
-        RULES,
+        [Edit(ENDPOINT_WATCH, "kMaxRetryDelay = 2000", "kMaxRetryDelay = 8000")],
+        BALANCER_TESTS,
         "Rule3.PausesBetweenFailedCallsKeepWithinTheTimeForAsking",
     ),
     Guarantee(
         "the end of a response without a length",
-        [Edit(UPSTREAM, "link->parser->put_eof(ec);", "{}")],
-        NET,
+        [Edit(CONNECTION, "parser_->put_eof(ec);", "{}")],
+        PROXY_TESTS,
         "NoLength.IsWholeWhereItsServerEndsItAndSpoiltByAReset",
     ),
     Guarantee(
         "waiting in the kernel counts as time spent",
-        [Edit(LISTENER, "std::max(std::exchange(waited_, 0), owner_.waited_for_loop())", "0")],
-        NET,
+        [Edit(SESSION, "std::max(std::exchange(waited_, 0), context_.loop_waited())", "0")],
+        PROXY_TESTS,
         "TimeLeft.RunsWhileTheProcessStandsStill",
     ),
     Guarantee(
         "waiting behind pipelined requests counts as time spent",
-        [Edit(LISTENER, "if (in_.size() > 0) ahead_since_ = began_;", "")],
-        NET,
+        [Edit(SESSION, "if (input_.size() > 0) pipelined_since_ = request_began_;", "")],
+        PROXY_TESTS,
         "TimeLeft.RunsWhileARequestAwaitsItsTurn",
     ),
     Guarantee(
         "the start waits for missing resources",
         [Edit(STARTUP, "is_shortage(error.code()) ||", "")],
-        PROCESS,
+        PROGRAM_TESTS,
         "Start.WaitsOutAMomentsShortage",
     ),
     Guarantee(
         "a local fault spends no attempt",
-        [Edit(UPSTREAM, "if (is_local_fault(error)) return dial_again(link);", "")],
-        PROCESS,
+        [Edit(CONNECTION, "if (is_local_error(ec)) return retry_connect();", "")],
+        PROGRAM_TESTS,
         "LocalFault.OfAConnectIsWaitedOutAndSpendsNoAttempt",
     ),
     Guarantee(
         "server start times on the monotonic clock",
-        [Edit(SIDECAR, "start_times_.start_of(host.born, clock_.now())", "host.born")],
-        NET,
+        [
+            Edit(
+                PROXY_ENDPOINTS, "start_times_.start_of(listed.started_at, clock_.now())", "listed.started_at"
+            )
+        ],
+        PROXY_TESTS,
         "WallClock.AStepNeitherHidesThatAServerIsColdNorKeepsItCold",
     ),
     Guarantee(
         "time for a new connection's first request in a drain",
-        [Edit(LISTENER, "&& !just_opened &&", "&&")],
-        NET,
+        [Edit(SESSION, "&& !is_new &&", "&&")],
+        PROXY_TESTS,
         "Drain.LeavesANewConnectionTimeForItsFirstRequest",
     ),
     Guarantee(
         "the guard of requests that run once",
-        [Edit(GUARD, "if (request.kind.effect == Effect::once) return Withheld::may_have_run;", "")],
-        NET,
+        [
+            Edit(
+                RULE_GUARD,
+                "if (request.kind.idempotency == Idempotency::not_idempotent) return Withheld::may_have_run;",
+                "",
+            )
+        ],
+        PROXY_TESTS,
         "RuleGuard.WithholdsASendForEachReasonAndCountsWrongDecisions",
     ),
     Guarantee(
         "partly written requests are withdrawn",
         [
             Edit(
-                UPSTREAM,
-                "if (at->second->state != Link::State::reading) links.push_back(at->second);",
-                "if (at->second->state == Link::State::connecting) links.push_back(at->second);",
+                POOL,
+                "if (at->second->state() != Connection::State::reading) not_written.push_back(at->second);",
+                "if (at->second->state() == Connection::State::connecting) not_written.push_back(at->second);",
             )
         ],
-        NET,
+        PROXY_TESTS,
         "Departure.WithdrawsWhatIsWrittenInPart",
     ),
     Guarantee(
         "a departed client is reported to the balancer",
         [
             Edit(
-                SIDECAR,
-                "    upstream_.withdraw_request(id);\n    push(ClientGone{id});\n",
+                DRIVER,
+                "    upstream_.withdraw_request(id);\n    enqueue(ClientDisconnected{id});\n",
                 "    upstream_.withdraw_request(id);\n",
             )
         ],
-        NET,
+        PROXY_TESTS,
         "Attempts.ClientGoneClosesTheAttempt",
     ),
     Guarantee(
         "reading continues past the bound on pipelined bytes",
         [
             Edit(
-                LISTENER,
-                ("        thrown_ = 0;\n        if (state_ == State::waiting) receive();\n"),
-                "        thrown_ = 0;\n",
+                SESSION,
+                "    discarded_pipelined_bytes_ = 0;\n    if (state_ == State::waiting) receive();\n",
+                "    discarded_pipelined_bytes_ = 0;\n",
             )
         ],
-        NET,
+        PROXY_TESTS,
         "Departure.BehindAnyAmountSentAheadIsSeen",
     ),
     Guarantee(
         "the bound on pipelined bytes",
-        [Edit(LISTENER, "if (all > kMostAhead ||", "if (false &&")],
-        NET,
+        [
+            Edit(
+                SESSION_INPUT,
+                "    if (total > kMaxPipelinedBytes) return false;\n    if (total > kFreePipelinedBytes &&",
+                "    if (false &&",
+            )
+        ],
+        PROXY_TESTS,
         "Departure.WhatIsSentAheadIsServedInTurnUpToABound",
     ),
     Guarantee(
         "pipelined bytes count towards the memory limit",
-        [Edit(LISTENER, "owner_.body_bytes_ += ahead_claimed_;", "")],
-        NET,
+        [Edit(SESSION_INPUT, "context_.body_bytes += reserved_pipelined_bytes_;", "")],
+        PROXY_TESTS,
         "Departure.WhatIsHeldAheadSharesTheMemoryAndGivesItBack",
     ),
     Guarantee(
         "idle connections are checked for bytes before they are closed",
-        [Edit(LISTENER, "if (state_ == State::idle && unread()) return;", "")],
-        NET,
+        [Edit(SESSION, "if (state_ == State::idle && has_unread_bytes()) return;", "")],
+        PROXY_TESTS,
         "Closing.ForSilenceTakesNoRequestThatHasJustCome",
     ),
     Guarantee(
         "slow connections are checked for bytes before they are evicted",
-        [Edit(LISTENER, " && session->unread())", " && false)")],
-        NET,
+        [Edit(LISTENER, " && session->has_unread_bytes())", " && false)")],
+        PROXY_TESTS,
         "Closing.ForRoomTakesNoRequestThatHasJustComeWhole",
     ),
     Guarantee(
         "an idle connection has no unread bytes in the kernel",
-        [Edit(LISTENER, "!just_opened && !unread();", "!just_opened;")],
-        NET,
+        [Edit(SESSION, "!is_new && !has_unread_bytes();", "!is_new;")],
+        PROXY_TESTS,
         "Drain.LeavesAConnectionWhoseRequestIsUnread",
     ),
     Guarantee(
         "a connection that becomes idle in a drain is closed",
-        [Edit(LISTENER, "if (owner_.draining_ && quiet()) return close(CloseReason::draining);", "")],
-        NET,
+        [Edit(SESSION, "if (context_.draining && is_quiet()) return close(CloseReason::draining);", "")],
+        PROXY_TESTS,
         "Drain.ClosesAConnectionWhoseAnswerWasOnItsWay",
     ),
     Guarantee(
         "responses in a drain have Connection: close",
-        [Edit(LISTENER, "keep = keep && !owner_.draining_ &&", "keep = keep &&")],
-        NET,
+        [Edit(SESSION, "keep_alive = keep_alive && !context_.draining &&", "keep_alive = keep_alive &&")],
+        PROXY_TESTS,
         "Stopping.ServesOnThenEnds",
     ),
     Guarantee(
         "a drain ends before the kill",
-        [Edit(NODE, "std::min(longest, kKillAfter)", "longest")],
-        NET,
+        [Edit(SHUTDOWN, "std::min(longest_deadline, kKillAfter)", "longest_deadline")],
+        PROXY_TESTS,
         "Drain.WhatComesLateIsAnsweredBeforeTheKillOfLongDeadlines",
     ),
     Guarantee(
         "half requests are answered before a drain ends",
-        [Edit(NODE, "if (clock_.now() >= tell_off_at_) listener_.tell_off();", "")],
-        NET,
+        [Edit(SHUTDOWN, "if (clock_.now() >= reject_incomplete_at_) listener_.reject_incomplete();", "")],
+        PROXY_TESTS,
         "Drain.HalfARequestIsToldOffBeforeTheEnd",
     ),
     Guarantee(
         "a drain does not end before the last response",
         [
             Edit(
-                NODE,
-                "if (sidecar_.unanswered() == 0 && ((all_taken && !listener_.busy()) || clock_.now() >= stop_at_)) {",
-                "if ((sidecar_.unanswered() == 0 && !listener_.busy()) || clock_.now() >= stop_at_) {",
+                SHUTDOWN,
+                (
+                    "    if (sidecar_.pending_requests() != 0) return false;\n"
+                    "    return (all_accepted && !listener_.busy()) || clock_.now() >= end_at_;"
+                ),
+                (
+                    "    (void)all_accepted;\n"
+                    "    return (sidecar_.pending_requests() == 0 && !listener_.busy()) || clock_.now() >= end_at_;"
+                ),
             )
         ],
-        NET,
+        PROXY_TESTS,
         "Drain.WaitsForTheDeadlinesOfAnOlderConfiguration",
     ),
     Guarantee(
         "a second signal does not move the end of a drain",
-        [Edit(NODE, "    if (stopped_) return;\n    stopped_ =", "    stopped_ =")],
-        NET,
+        [Edit(NODE, "    if (stopping()) return;\n    config_manager_", "    config_manager_")],
+        PROXY_TESTS,
         "Drain.ASecondSignalChangesNothing",
     ),
     Guarantee(
         "a draining server gets nothing new",
-        [Edit(SIDECAR, "closed.push_back(id);", "{}")],
-        NET,
+        [Edit(PROXY_ENDPOINTS, "ids.push_back(id);", "{}")],
+        PROXY_TESTS,
         "Attempts.ConnectingToADrainingServerIsNeverWritten",
     ),
     Guarantee(
         "a draining server gets no retries",
         [
-            Edit(MODULE, "if (!s.listed || s.info.phase != Phase::on) return false;  // rule 3", ""),
+            Edit(RETRY_POLICY, "if (!endpoint.is_serving()) return false;  // rule 3", ""),
             Edit(
-                MODULE,
-                "            if (s.listed && s.info.phase == Phase::on) open.push_back(&s), open_units",
-                "            if (s.listed) open.push_back(&s), open_units",
+                ENDPOINTS,
+                "        if (!record.is_serving()) continue;\n",
+                "        if (!record.listed) continue;\n",
             ),
-            Edit(SIDECAR, "server.serving |= begun;", "server.serving = true;"),
+            Edit(DRIVER, "endpoint.serving |= partly_written;", "endpoint.serving = true;"),
         ],
-        NET,
+        PROXY_TESTS,
         "List.WhatIsRetriedDoesNotGoToADrainingServer",
     ),
     Guarantee(
         "connecting attempts are withdrawn from a server that moves",
         [
             Edit(
-                SIDECAR,
-                "for (const ServerId id : moved) upstream_.withdraw_server(id);",
-                "for (const ServerId id : moved) upstream_.retire(id);",
+                DRIVER,
+                "for (const EndpointId id : changes.moved) upstream_.withdraw_endpoint(id);",
+                "for (const EndpointId id : changes.moved) upstream_.retire(id);",
             )
         ],
-        NET,
+        PROXY_TESTS,
         "List.AServerThatMovesTakesAlongWhatStillConnects",
     ),
     Guarantee(
         "a new list is applied before attempts are withdrawn",
         [
             Edit(
-                SIDECAR,
-                "    push(std::move(event));\n    for (const ServerId id : moved)",
-                "    for (const ServerId id : moved)",
+                DRIVER,
+                "    enqueue(std::move(event));\n    for (const EndpointId id : changes.moved)",
+                "    for (const EndpointId id : changes.moved)",
             ),
             Edit(
-                SIDECAR,
-                "    for (const ServerId id : closed) drop_server(id);",
-                ("    push(std::move(event));\n    for (const ServerId id : closed) drop_server(id);"),
+                DRIVER,
+                "    for (const EndpointId id : not_serving) endpoints_.remove_if_unused(id);",
+                (
+                    "    enqueue(std::move(event));\n"
+                    "    for (const EndpointId id : not_serving) endpoints_.remove_if_unused(id);"
+                ),
             ),
         ],
-        NET,
+        PROXY_TESTS,
         "List.WhatIsWithdrawnIsPlacedAnewByTheList",
     ),
     Guarantee(
         "a repeat is written before its deduplication window ends",
         [
-            Edit(UPSTREAM, "clock_.point(std::min(patience, job.write_until))", "clock_.point(patience)"),
             Edit(
-                UPSTREAM,
-                "    if (clock_.now() >= job.write_until) return end(link, Outcome::superseded, nullptr, false);\n",
-                "",
+                CONNECTION,
+                "clock_.point(std::min(give_up, exchange_->write_deadline))",
+                "clock_.point(give_up)",
+            ),
+            Edit(
+                CONNECTION,
+                (
+                    "void UpstreamConnection::write_request() {\n"
+                    "    if (clock_.now() >= exchange_->write_deadline) return end(Outcome::not_sent);\n"
+                ),
+                "void UpstreamConnection::write_request() {\n",
             ),
         ],
-        NET,
+        PROXY_TESTS,
         "Attempt.NothingIsWrittenOnceTheServersHaveForgottenItsKey",
     ),
     Guarantee(
         "a repeat's deadline by the server's deduplication window",
         [
             Edit(
-                MODULE,
-                "const Millis write_until = std::min(r.deadline, repeats_end(r));",
-                "const Millis write_until = r.deadline;",
+                SCHEDULER,
+                "const Millis write_before = std::min(request.deadline, RetryPolicy::repeat_deadline(request));",
+                "const Millis write_before = request.deadline;",
             )
         ],
-        NET,
+        PROXY_TESTS,
         "Attempt.NothingIsWrittenOnceTheServersHaveForgottenItsKey",
     ),
     Guarantee(
         "the rest of a repeat is not written after its window",
         [
             Edit(
-                UPSTREAM,
-                "    if (clock_.now() >= link->job->write_until) return end(link, Outcome::superseded, nullptr, false);\n",
-                "",
+                CONNECTION,
+                (
+                    "    if (clock_.now() >= exchange_->write_deadline) return end(Outcome::not_sent);\n"
+                    "    write_available_bytes();"
+                ),
+                "    write_available_bytes();",
             )
         ],
-        NET,
+        PROXY_TESTS,
         "Attempt.TheRestIsNotWrittenOnceTheServersHaveForgottenItsKey",
     ),
     Guarantee(
         "a lack of descriptors is not the server's failure",
         [
             Edit(
-                UPSTREAM,
-                "> kMostRedials) return end(link, Outcome::superseded",
-                "> kMostRedials) return end(link, Outcome::refused_connection",
+                CONNECTION,
+                "> kMaxConnectRetries) return end(Outcome::not_sent",
+                "> kMaxConnectRetries) return end(Outcome::connect_failure",
             )
         ],
-        NET,
+        PROXY_TESTS,
         "Pool.NoDescriptorIsNoFaultOfTheServer",
     ),
     Guarantee(
         "an expired idle connection is not used before its timer fires",
-        [Edit(UPSTREAM, " || now >= idle_until(*link)", "")],
-        NET,
+        [Edit(POOL, " || expired ||", " ||")],
+        PROXY_TESTS,
         "Pool.AConnectionIdleForTooLongIsNotUsedBeforeItsTimerFires",
     ),
     Guarantee(
         "idle connections are closed while new ones are accepted",
-        [Edit(NODE, "        listener_.close_quiet();\n", "")],
-        NET,
+        [
+            Edit(
+                SHUTDOWN,
+                "void GracefulShutdown::close_idle_before_end() {\n    listener_.close_idle();\n",
+                "void GracefulShutdown::close_idle_before_end() {\n",
+            )
+        ],
+        PROXY_TESTS,
         "Drain.WhoeverIsClosedWhileRestingMayAskOnANewConnection",
     ),
     Guarantee(
@@ -385,152 +452,136 @@
                 "is_shortage(ec)) {\n            return true;",
             )
         ],
-        NET,
+        PROXY_TESTS,
         "Drain.EmptiesTheQueueOnceThereAreDescriptors",
     ),
     Guarantee(
         "as much is discarded as kernel buffers hold",
-        [Edit(LISTENER, "kThrownAway = 1024 * 1024", "kThrownAway = 256 * 1024")],
-        NET,
+        [Edit(SESSION_INPUT, "kMaxDiscardedBytes = 1024 * 1024", "kMaxDiscardedBytes = 256 * 1024")],
+        PROXY_TESTS,
         "Departure.BehindAllThatAKernelHoldsIsSeenWithinSixLooks",
     ),
     Guarantee(
         "a partly written file is read again",
-        [Edit(NODE, "        if (reads > 1) {", "        if (false) {")],
-        NET,
+        [Edit(RELOADER, "if (attempts_left > 1) retry(attempts_left - 1);", "")],
+        PROCESS_TESTS,
         "Reload.AFileThatIsBeingWrittenIsReadAgain",
     ),
     Guarantee(
         "a move of discovery ends a retry pause",
         [Edit(DISCOVERY, "    active_ = true;  // a pause", "    // a pause")],
-        NET,
+        PROXY_TESTS,
         "List.DiscoveryThatMovesDuringAPauseIsAskedAtOnce",
     ),
     Guarantee(
         "a silent watch is closed",
-        [
-            Edit(
-                DISCOVERY,
-                "constexpr double kLongestWaitMs = 2000;",
-                "constexpr double kLongestWaitMs = 20000;",
-            )
-        ],
-        NET,
+        [Edit(DISCOVERY, "constexpr double kMaxWaitMs = 2000;", "constexpr double kMaxWaitMs = 20000;")],
+        PROXY_TESTS,
         "Watch.ThatFellSilentIsOpenedAnewWhileTheListMayStillBeOld",
     ),
     Guarantee(
         "a request belongs to the configuration at its last byte",
-        [Edit(LISTENER, "chunked || changed ? form_fault", "chunked ? form_fault")],
-        NET,
+        [Edit(SESSION, "if (chunked || config_changed) {", "if (chunked) {")],
+        PROXY_TESTS,
         "Generation.ARequestBelongsToTheOneInForceAtItsLastByte",
     ),
     Guarantee(
         "the configuration is taken anew at a request's head",
         [
             Edit(
-                LISTENER,
-                ("    bool look_at_head() {\n        snapshot_ = owner_.sidecar_.snapshot();\n"),
-                "    bool look_at_head() {\n",
+                SESSION,
+                "bool ClientSession::accept_head() {\n    snapshot_ = context_.driver.snapshot();\n",
+                "bool ClientSession::accept_head() {\n",
             ),
             Edit(
-                LISTENER,
-                "        claim_ahead(0);  // its body",
-                "        snapshot_ = owner_.sidecar_.snapshot();\n        // its",
+                SESSION,
+                "    account_pipelined(0);  // its body",
+                "    snapshot_ = context_.driver.snapshot();\n    // its body",
             ),
         ],
-        NET,
+        PROXY_TESTS,
         "Generation.AClassOfTheSameNameHasItsNewEffect",
     ),
     Guarantee(
         "a closed idle connection is not used",
         LOOKED_AT_WHEN_IDLE,
-        NET,
+        PROXY_TESTS,
         "Pool.AStaleConnectionIsNotWrittenTo",
     ),
     Guarantee(
         "a connection is reused only after a settling time",
-        [Edit(UPSTREAM, "if (link->idle_since > settled) continue;", "")],
-        NET,
+        [Edit(POOL, "if (connection->idle_since() > quiet_since) continue;", "")],
+        PROXY_TESTS,
         "Pool.AConnectionSettlesBeforeItIsUsedAgain",
     ),
     Guarantee(
         "bytes after a response close its connection",
-        [Edit(UPSTREAM, "&& link->in.size() == 0 &&", "&&")],
-        NET,
+        [Edit(CONNECTION, "parser_->keep_alive() && input_.size() == 0;", "parser_->keep_alive();")],
+        PROXY_TESTS,
         "Attempt.WhatComesBehindAnAnswerIsNobodys",
     ),
     Guarantee(
         "idle connections are closed before the server does so",
-        [Edit(UPSTREAM, "limits_.idle_close - std::min", "100000 - std::min")],
-        NET,
+        [Edit(POOL, "limits_.idle_timeout -\n           std::min(", "100000 -\n           std::min(")],
+        PROXY_TESTS,
         "Pool.IdleConnectionsGoBeforeTheServersLimit",
     ),
     Guarantee(
         "a request whose connection was reset may have run",
-        [
-            Edit(
-                MODULE,
-                "if (r.kind.effect == Effect::once && r.first_possible_run()) return false;  // rule 2",
-                "",
-            )
-        ],
-        NET,
+        [Edit(RETRY_POLICY, "if (!repeatable && request.first_possible_run()) return false;  // rule 2", "")],
+        PROXY_TESTS,
         "All/Endings.AreToldTruly/reset_once",
     ),
     Guarantee(
         "the connection of a finished attempt is closed",
         CLOSED_WHEN_OVER,
-        NET,
+        PROXY_TESTS,
         "Attempts.TimedOutIsAnsweredByTheDeadlineAndClosed",
     ),
     Guarantee(
         "a late response finds its connection closed and its request answered",
         [
             Edit(
-                SIDECAR,
-                "(outcome == Outcome::completed || unfit) && !request.ended && response",
-                "(outcome == Outcome::completed || unfit) && response",
+                DRIVER,
+                "(outcome == Outcome::success || request_error) && !request->ended && response",
+                "(outcome == Outcome::success || request_error) && response",
             ),
             Edit(
-                SIDECAR,
+                DRIVER,
                 "    if (request.ended) return;\n    request.ended = true;",
                 "    request.ended = true;",
             ),
-            Edit(LISTENER, "        if (state_ != State::waiting) return;  // the client has left\n", ""),
+            Edit(SESSION, "    if (state_ != State::waiting) return;  // the client has left\n", ""),
             *CLOSED_WHEN_OVER,
         ],
-        NET,
+        PROXY_TESTS,
         "Attempts.ALateAnswerGoesNowhere",
     ),
     Guarantee(
         "the balancer ends the requests of departed clients",
         [
             Edit(
-                MODULE,
-                "        cancel_all(it->second);\n        it->second.ended = true;\n",
-                "        cancel_all(it->second);\n",
+                BALANCER,
+                "        scheduler.cancel_attempts(*request);\n        request->ended = true;\n",
+                "        scheduler.cancel_attempts(*request);\n",
             )
         ],
-        RULES,
+        BALANCER_TESTS,
         "Rules.HoldOverRandomLegalLives",
     ),
     Guarantee(
         "half a request is answered with 408",
-        [Edit(LISTENER, "if (state_ == State::reading) return reject(http::status::request_timeout);", "")],
-        NET,
+        [Edit(SESSION, "if (state_ == State::reading) return reject(http::status::request_timeout);", "")],
+        PROXY_TESTS,
         "BadRequests.TheSlowAreToldOffWithinThreeSeconds",
     ),
     Guarantee(
         "reading continues while a request waits",
         [
-            Edit(
-                LISTENER,
-                "        receive();\n    }\n\n    void trace_close(",
-                "    }\n\n    void trace_close(",
-            ),
-            Edit(LISTENER, "        if (state_ == State::waiting) receive();\n", ""),
+            Edit(SESSION, "    receive();\n}\n\n// Gives back", "}\n\n// Gives back"),
+            Edit(SESSION, "    if (state_ == State::waiting) receive();\n", ""),
         ],
-        NET,
+        PROXY_TESTS,
         "BadRequests.APipeliningClientThatLeavesIsNoticed",
     ),
     Guarantee(
@@ -542,77 +593,72 @@
                 "        if (!ec) {\n",
             )
         ],
-        NET,
+        PROXY_TESTS,
         "Drain.LeavesAConnectionWhoseRequestIsUnread",
     ),
     Guarantee(
         "a configuration change during a drain is applied",
         [
             Edit(
-                NODE,
-                ("    const Millis start = clock_.now();\n    const SnapshotPtr running"),
-                (
-                    "    if (stopped_) return {};\n"
-                    "    const Millis start = clock_.now();\n"
-                    "    const SnapshotPtr running"
-                ),
-            )
+                NODE_HEADER,
+                "        return config_manager_.change(candidate",
+                "        if (stopping()) return {};\n        return config_manager_.change(candidate",
+            ),
+            Edit(
+                NODE_HEADER,
+                "void reload() { reloader_.reload(); }",
+                "void reload() { if (!stopping()) reloader_.reload(); }",
+            ),
         ],
-        NET,
-        "HardCases.ANewConfigurationDuringTheDrainIsTakenAndLengthensNothing",
+        PROCESS_TESTS,
+        "ConfigChange.DuringTheDrainIsAppliedAndDoesNotProlongIt",
     ),
     Guarantee(
         "list changes are followed in a drain",
         [
             Edit(
                 NODE,
-                "    stopped_ = std::move(done);\n",
-                "    stopped_ = std::move(done);\n    discovery_.watch(false);\n",
+                "    config_manager_.stop_canary_watch();\n",
+                "    config_manager_.stop_canary_watch();\n    discovery_.watch(false);\n",
             )
         ],
-        NET,
+        PROXY_TESTS,
         "Drain.StillFollowsTheList",
     ),
     Guarantee(
         "a request without its last byte did not run",
         [
             Edit(
-                UPSTREAM,
-                (
-                    "short of that, it never ran.\n"
-                    "    if (transfer.error) return end(link, Outcome::refused_connection"
-                ),
-                (
-                    "short of that, it never ran.\n"
-                    "    if (transfer.error) return end(link, Outcome::severed"
-                ),
+                CONNECTION,
+                "if (transfer.error) return end(Outcome::connect_failure",
+                "if (transfer.error) return end(Outcome::connection_reset",
             )
         ],
-        NET,
+        PROXY_TESTS,
         "Attempts.ResetBeforeTheLastByteNeverRan",
     ),
     Guarantee(
         "an idle connection with unexpected bytes is closed",
         LOOKED_AT_WHEN_IDLE,
-        NET,
+        PROXY_TESTS,
         "Pool.ALeftoverIsNeverTheNextAnswer",
     ),
     Guarantee(
         "the number of interim responses is bounded",
-        [Edit(UPSTREAM, "|| ++link->interim > kMostInterim", "")],
-        NET,
+        [Edit(CONNECTION, " || ++interim_responses_ > kMaxInterimResponses", "")],
+        PROXY_TESTS,
         "Spoilt/Endings.AreToldTruly/endless_interim",
     ),
     Guarantee(
         "nothing remains of a removed server",
-        [Edit(UPSTREAM, "    at->second->withdrawn = true;\n", "")],
-        NET,
+        [Edit(POOL, "    at->second->withdrawn = true;\n", "")],
+        PROXY_TESTS,
         "Pool.NothingStaysOfServersThatAreGone",
     ),
     Guarantee(
         "only changes are requested after a failed call",
-        [Edit(DISCOVERY, "call(gap_ || fetch_);", "call(true);")],
-        NET,
+        [Edit(DISCOVERY, "start_call(complete_list_needed_ || fetch_requested_);", "start_call(true);")],
+        PROXY_TESTS,
         "Watch.AfterACallThatFailedItAsksForChangesOnly",
     ),
     Guarantee(
@@ -620,56 +666,50 @@
         [
             Edit(
                 DISCOVERY,
-                'if (list.seq < seq_ && !counts_anew(list)) return unsound(call, "an older list");',
-                "counts_anew(list);",
+                'if (list->seq < seq_ && !sequence_restarted(*list)) return response_invalid(call, "an older list");',
+                "sequence_restarted(*list);",
             )
         ],
-        NET,
+        PROXY_TESTS,
         "Watch.SurvivesGarbageOldListsAndDowntime",
     ),
     Guarantee(
         "a move of discovery takes effect at once",
-        [
-            Edit(
-                DISCOVERY,
-                ("    if (old) old->stream->close();\n    kept_.reset();\n    seq_ = 0;"),
-                "    if (old) call_ = old;\n    kept_.reset();\n    seq_ = 0;",
-            )
-        ],
-        NET,
+        [Edit(DISCOVERY, "    cancel_call();\n    seq_ = 0;", "    connection_.reset();\n    seq_ = 0;")],
+        PROXY_TESTS,
         "Watch.MovesWithTheConfigurationAtOnce",
     ),
     Guarantee(
         "a request retains the settings it began with",
         [
             Edit(
-                MODULE,
-                "r.settings = e.settings && !e.settings->classes.empty() ? e.settings : settings;",
-                "r.settings = settings;",
+                SCHEDULER,
+                "request->settings = own_settings ? arrived.settings : parts_.context.settings;",
+                "request->settings = parts_.context.settings;",
             )
         ],
-        RULES,
+        BALANCER_TESTS,
         "Rules.HoldForEachRequestByTheSettingsItBeganWith",
     ),
     Guarantee(
         "a lowered connection limit waits for the responses",
-        [Edit(UPSTREAM, "if (keep && open_ <= limits_.connections)", "if (keep)")],
-        NET,
-        "HardCases.ALimitLoweredBelowWhatIsInUseCutsNoRequest",
+        [Edit(POOL, "if (keep && open_ <= limits_.connections)", "if (keep)")],
+        PROCESS_TESTS,
+        "ConfigChange.ALimitLoweredBelowWhatIsInUseCutsNoRequest",
     ),
     Guarantee(
         "a new configuration retains what was learnt about servers",
         [
             Edit(
-                MODULE,
-                "        settings = e.settings;\n",
+                BALANCER,
+                "        context.settings = event.settings;\n",
                 (
-                    "        settings = e.settings;\n"
-                    "        for (auto& [id, s] : servers) s.filled = 0, s.standing = Standing::live;\n"
+                    "        context.settings = event.settings;\n"
+                    "        for (auto& [id, endpoint] : endpoints.records()) endpoint.ejection.reset();\n"
                 ),
             )
         ],
-        RULES,
+        BALANCER_TESTS,
         "Change.WhatWasLearntAboutServersStays",
     ),
     Guarantee(
@@ -677,71 +717,83 @@
         [
             Edit(
                 DISCOVERY,
-                "    if (ec == beast::error::timeout)\n            given_up(call",
-                "    if (ec == beast::error::timeout)\n            failed(call",
+                "    if (ec == beast::error::timeout)\n        call_timed_out(call",
+                "    if (ec == beast::error::timeout)\n        call_failed(call",
             )
         ],
-        NET,
+        PROXY_TESTS,
         "List.ACallGivenUpForItsTimeIsRepeatedWithoutBeingToldAsFailed",
     ),
     Guarantee(
         "half a request has its own timeout",
-        [Edit(LISTENER, "std::max(began_ + kReadTime, now + kLeastReadTime)", "now + kReadTime")],
-        NET,
+        [
+            Edit(
+                SESSION,
+                "std::max(request_began_ + kReadTimeout, now + kMinReadTimeout)",
+                "now + kReadTimeout",
+            )
+        ],
+        PROXY_TESTS,
         "BadRequests.HalfARequestBehindALongAnswerIsToldOffByItsOwnTime",
     ),
     Guarantee(
         "half a request accepted late has its own timeout",
-        [Edit(LISTENER, "std::max(kReadTime - waited_, kLeastReadTime)", "kReadTime")],
-        NET,
+        [Edit(SESSION, "std::max(kReadTimeout - session->waited_, kMinReadTimeout)", "kReadTimeout")],
+        PROXY_TESTS,
         "BadRequests.HalfARequestThatCouldNotBeAcceptedIsToldOffByItsOwnTime",
     ),
     Guarantee(
         "a full log pipe does not block",
-        [Edit("src/net/log.hpp", " || !log_takes_a_line()", "")],
-        PROCESS,
+        [Edit(LOG, " || !is_writable()", "")],
+        PROGRAM_TESTS,
         "Log.ThatNobodyReadsHoldsUpNoRequest",
     ),
     Guarantee(
         "no signal kills a process that is exiting",
-        [Edit("src/main.cpp", "    mask_signals(SIG_BLOCK);  // for good", "    // for good")],
-        PROCESS,
+        [Edit(MAIN, "    mask_signals(SIG_BLOCK);  // for good", "    // for good")],
+        CRASH_TESTS,
         "PlannedStops.EndWithZeroUnderNewConfigurationsUpToTheLastMoment",
     ),
     Guarantee(
         "a margin in the time left that is sent on",
-        [Edit(UPSTREAM, "return left - std::min(kTimeMargin, left * kTimeMarginShare);", "return left;")],
-        NET,
+        [
+            Edit(
+                CONNECTION,
+                "return left - std::min(kDeadlineMargin, left * kDeadlineMarginShare);",
+                "return left;",
+            )
+        ],
+        PROXY_TESTS,
         "TimeLeft.LeavesAMarginForAProcessHeldUpBeforeItsWrite",
     ),
     Guarantee(
         "a failure is sent to a bounded number of peers",
         [
             Edit(
-                MODULE,
-                "std::min(settings->siblings / kToldPart, kMostTold)",
-                "settings->siblings / kToldPart",
+                GOSSIP,
+                "std::min(settings.sidecar_count / kSidecarsPerReport, kMaxReports)",
+                "settings.sidecar_count / kSidecarsPerReport",
             )
         ],
-        RULES,
+        BALANCER_TESTS,
         "Gossip.CostsASidecarNoMoreInALargerFleet",
     ),
     Guarantee(
         "no repeat at the very end of a deduplication window",
-        [Edit(MODULE, " - std::min(kHeldUp, window * kHeldUpShare)", "")],
-        RULES,
+        [Edit(RETRY_POLICY, " - std::min(kWriteDelay, window * kMaxWriteDelayShare)", "")],
+        BALANCER_TESTS,
         "Rule2.ByKeyIsNotRepeatedInTheLastMomentOfItsWindow",
     ),
     Guarantee(
         "a request ends before the pipelined ones behind it are due",
         [
             Edit(
-                LISTENER,
-                "        until_ = time_for_those_behind();\n        id_ =",
-                "        until_ = 0;\n        id_ =",
+                SESSION,
+                "    deadline_ = deadline_for_pipelined();\n    request_id_ =",
+                "    deadline_ = 0;\n    request_id_ =",
             )
         ],
-        NET,
+        PROXY_TESTS,
         "Ahead.ARequestEndsBeforeThoseBehindItAreOwedTheirAnswers",
     ),
 ]
--- a/bench/guarantees.py
+++ b/bench/guarantees.py
@@ -11,6 +11,7 @@
 import argparse
 import contextlib
 import filecmp
+import glob
 import os
 import re
 import shutil
@@ -82,6 +83,11 @@
         if configured.returncode:
             sys.exit(configured.stdout)
 
+    def program(self, target):
+        """The path of a test program that has been built: each lies in its folder's own build folder."""
+        (path,) = glob.glob(os.path.join(self.build, "tests", "*", target))
+        return path
+
     def test(self, target, name):
         """Builds and runs one test: FAILED, PASSED, or why it could not be run."""
         jobs = str(os.cpu_count() or 2)
@@ -89,8 +95,7 @@
         if built.returncode:
             return "does not build: " + built.stdout[-SHOWN_BUILD_OUTPUT:]
         try:
-            program = os.path.join(self.build, "tests", target)
-            tested = run([program, "--gtest_filter=" + name], TEST_TIMEOUT_S)
+            tested = run([self.program(target), "--gtest_filter=" + name], TEST_TIMEOUT_S)
         except subprocess.TimeoutExpired:
             return FAILED
         if "[==========] 1 test " not in tested.stdout and tested.returncode == 0:
