--- a/src/control/config_versions.cpp
+++ b/src/control/config_versions.cpp
@@ -117,12 +117,13 @@
 
 const ConfigVersions::Entry* ConfigVersions::previous() const {
     if (canary_) return find(canary_->fallback);
-    for (auto entry = retained_.rbegin(); entry != retained_.rend(); ++entry) {
-        const bool original = entry->content_version == entry->number();
-        const bool older = entry->number() < current().content_version;
-        if (entry->state == State::good && original && older) return &*entry;
-    }
-    return nullptr;
+    const auto is_older_good = [this](const Entry& entry) {
+        const bool original = entry.content_version == entry.number();
+        const bool older = entry.number() < current().content_version;
+        return entry.state == State::good && original && older;
+    };
+    const auto newest = std::find_if(retained_.rbegin(), retained_.rend(), is_older_good);
+    return newest != retained_.rend() ? &*newest : nullptr;
 }
 
 // The oldest go first, but never the one that a canary may have to be rolled back to.
--- a/src/fleet/gossip_transport.cpp
+++ b/src/fleet/gossip_transport.cpp
@@ -13,7 +13,7 @@
 
 void GossipTransport::set_peers(std::vector<udp::endpoint> peers, std::optional<udp::endpoint> broadcast) {
     peers_ = std::move(peers);
-    broadcast_ = broadcast;
+    broadcast_ = std::move(broadcast);
 }
 
 void GossipTransport::stop() {
--- a/tests/balancer/replay_test.cpp
+++ b/tests/balancer/replay_test.cpp
@@ -326,7 +326,7 @@
     }
     Endpoint change_server() {
         if (servers_.empty() || draw_.chance(0.2)) {
-            const EndpointId id = static_cast<EndpointId>(1000 + draw_.below(60));
+            const auto id = static_cast<EndpointId>(1000 + draw_.below(60));
             add_server(id);
             return servers_[id];
         }
@@ -345,7 +345,7 @@
     void receive_from_peer() {
         GossipReceived message;
         message.from = static_cast<std::uint32_t>(draw_.below(900));
-        const std::uint64_t length = draw_.one_of<std::uint64_t>({1, 1, 4, 4, 4, 0, 7});
+        const auto length = draw_.one_of<std::uint64_t>({1, 1, 4, 4, 4, 0, 7});
         for (std::uint64_t i = 0; i < length; ++i)
             message.bytes.push_back(static_cast<std::uint8_t>(draw_.below(256)));
         if (length == 4) message.bytes = {0, 0, 0, static_cast<std::uint8_t>(7 * (1 + draw_.below(20)))};
--- a/tests/process/recorded_http_test.cpp
+++ b/tests/process/recorded_http_test.cpp
@@ -110,7 +110,7 @@
     const char* name;
     std::string request, answer;  // the client's, and the server's
 };
-void PrintTo(const Exchange& exchange, std::ostream* out) { *out << exchange.name; }
+std::ostream& operator<<(std::ostream& out, const Exchange& exchange) { return out << exchange.name; }
 
 class RecordedExchange : public testing::TestWithParam<Exchange> {};
 
@@ -156,7 +156,7 @@
     std::string request;
     const char* status;  // of the answer
 };
-void PrintTo(const Misfit& misfit, std::ostream* out) { *out << misfit.name; }
+std::ostream& operator<<(std::ostream& out, const Misfit& misfit) { return out << misfit.name; }
 
 class RecordedMisfit : public testing::TestWithParam<Misfit> {};
 
--- a/tests/proxy/attempt_outcome_test.cpp
+++ b/tests/proxy/attempt_outcome_test.cpp
@@ -12,7 +12,7 @@
     unsigned status;
     std::size_t requests;
 };
-void PrintTo(const Ending& ending, std::ostream* out) { *out << ending.name; }
+std::ostream& operator<<(std::ostream& out, const Ending& ending) { return out << ending.name; }
 
 class Endings : public testing::TestWithParam<Ending> {};
 
--- a/tests/proxy/listener_test.cpp
+++ b/tests/proxy/listener_test.cpp
@@ -158,7 +158,7 @@
     std::vector<json> hosts, peers;
     for (int i = 0; i < kMany; ++i) {
         hosts.push_back(host(std::to_string(i), server.at()));
-        peers.push_back(text_of(
+        peers.emplace_back(text_of(
             tcp::endpoint(asio::ip::make_address("127.0.0.1"), static_cast<std::uint16_t>(20000 + i))));
     }
     json config = a_config(discovery.at(), hosts);
--- a/tests/recovery/state_store_test.cpp
+++ b/tests/recovery/state_store_test.cpp
@@ -164,7 +164,7 @@
     EXPECT_TRUE(r.crash_loop);
     EXPECT_FALSE(r.endpoints);
     int aside = 0;
-    for (const auto& [name, file] : disk.folder->seen_) aside += name.rfind("bad-world", 0) == 0;
+    for (const auto& [name, file] : disk.folder->visible) aside += name.rfind("bad-world", 0) == 0;
     EXPECT_EQ(aside, 1) << "and nothing is deleted";
 }
 
--- a/tests/replication/recorded_datagrams_test.cpp
+++ b/tests/replication/recorded_datagrams_test.cpp
@@ -21,7 +21,7 @@
     const char* name;
     Datagram datagram;
 };
-void PrintTo(const Case& c, std::ostream* out) { *out << c.name; }
+std::ostream& operator<<(std::ostream& out, const Case& c) { return out << c.name; }
 
 constexpr std::uint32_t kLife = 0x6553f100, kIncarnation = 0x01020304;
 
@@ -71,7 +71,7 @@
     EXPECT_TRUE(is_shared_state(bytes));
     const auto read = decode(bytes);
     ASSERT_TRUE(std::holds_alternative<Datagram>(read)) << to_string(std::get<DecodeError>(read));
-    const Datagram& datagram = std::get<Datagram>(read);
+    const auto& datagram = std::get<Datagram>(read);
     EXPECT_EQ(datagram.kind, c.datagram.kind);
     EXPECT_EQ(datagram.epoch, c.datagram.epoch);
     EXPECT_EQ(datagram.incarnation, c.datagram.incarnation);
@@ -161,7 +161,7 @@
     void run_for(int milliseconds) {
         for (const int end = elapsed_ + milliseconds; elapsed_ < end; ++elapsed_, now_ += 1) {
             deliver();
-            for (MemberId i = 0; i < replicas_.size(); ++i)
+            for (std::size_t i = 0; i < replicas_.size(); ++i)
                 if (i != silent && replicas_[i].due() <= now_)
                     act(i, [](Replica& r, Millis now, auto& out) { r.advance(now, out); });
         }
@@ -186,9 +186,9 @@
         fold(static_cast<std::uint32_t>(elapsed_)), fold(from), fold(datagram.to);
         fold(static_cast<std::uint32_t>(datagram.bytes.size()));
         sent_.insert(sent_.end(), datagram.bytes.begin(), datagram.bytes.end());
-        for (MemberId to = 0; to < replicas_.size(); ++to)
+        for (std::size_t to = 0; to < replicas_.size(); ++to)
             if (to != from && (datagram.to == kAll || datagram.to == to))
-                flying_.emplace(elapsed_ + kDelay, InFlight{from, to, datagram.bytes});
+                flying_.emplace(elapsed_ + kDelay, InFlight{from, static_cast<MemberId>(to), datagram.bytes});
     }
     void fold(std::uint32_t number) {
         for (int shift = 24; shift >= 0; shift -= 8)
--- a/tests/soak/fault_shim.cpp
+++ b/tests/soak/fault_shim.cpp
@@ -4,7 +4,6 @@
 //                     the test changes it while the process runs. Without it nothing is injected.
 // FAULT_SHIM_SEED:    seed of the random draws, which repeat for the same sequence of calls.
 #include <dlfcn.h>
-#include <errno.h>
 #include <fcntl.h>
 #include <netinet/in.h>
 #include <sys/epoll.h>
@@ -12,12 +11,13 @@
 #include <sys/socket.h>
 #include <sys/stat.h>
 #include <sys/uio.h>
-#include <time.h>
 #include <unistd.h>
 
 #include <atomic>
+#include <cerrno>
 #include <cstdint>
 #include <cstdlib>
+#include <ctime>
 
 #include "fault_slots.hpp"
 
--- a/tests/storage/record_store_test.cpp
+++ b/tests/storage/record_store_test.cpp
@@ -153,7 +153,7 @@
 }
 
 void put(SimulatedDirectory& directory, const std::string& name, const std::string& bytes) {
-    directory.seen_[name] =
+    directory.visible[name] =
         std::make_shared<SimulatedDirectory::File>(SimulatedDirectory::File{bytes, bytes});
 }
 std::string numbered(int n) {
@@ -178,11 +178,11 @@
     ASSERT_TRUE(found);
     EXPECT_EQ(found->payload, "good");
     EXPECT_EQ(logged.size(), 4u);
-    for (const int n : {2, 3, 4, 5}) EXPECT_EQ(directory.seen_.count("bad-" + numbered(n)), 1u) << n;
-    EXPECT_EQ(directory.seen_.count("half-" + numbered(6)), 0u);
-    EXPECT_EQ(directory.seen_.count("a stranger's"), 1u);
+    for (const int n : {2, 3, 4, 5}) EXPECT_EQ(directory.visible.count("bad-" + numbered(n)), 1u) << n;
+    EXPECT_EQ(directory.visible.count("half-" + numbered(6)), 0u);
+    EXPECT_EQ(directory.visible.count("a stranger's"), 1u);
     EXPECT_EQ(store.save("world", "next"), std::error_code());
-    EXPECT_EQ(directory.seen_.count(numbered(7)), 1u) << "a number is never used twice";
+    EXPECT_EQ(directory.visible.count(numbered(7)), 1u) << "a number is never used twice";
 }
 
 TEST(Loading, ANewerVersionsRecordsAreLeftAlone) {
@@ -200,7 +200,7 @@
     RecordStore store(directory, kNoLog);
     EXPECT_EQ(store.load("world", kAcceptAll)->payload, "ours");
     for (int i = 0; i < 10; ++i) EXPECT_EQ(store.save("world", "again"), std::error_code());
-    EXPECT_EQ(directory.seen_.count(numbered(9)), 1u) << "the newer program may come back";
+    EXPECT_EQ(directory.visible.count(numbered(9)), 1u) << "the newer program may come back";
     EXPECT_EQ(found_in(directory), "again");
 }
 
@@ -213,8 +213,8 @@
             directory, [&](const std::string& line) { logged += line.find("deleted") != std::string::npos; });
         store.load("world", kAcceptAll);
     }
-    EXPECT_EQ(directory.seen_.size(), RecordStore::kMaxQuarantined);
-    EXPECT_EQ(directory.seen_.count("bad-" + numbered(40)), 1u);
+    EXPECT_EQ(directory.visible.size(), RecordStore::kMaxQuarantined);
+    EXPECT_EQ(directory.visible.count("bad-" + numbered(40)), 1u);
     EXPECT_EQ(logged, 40 - static_cast<int>(RecordStore::kMaxQuarantined)) << "never silently";
 }
 
@@ -222,7 +222,7 @@
     SimulatedDirectory directory;
     RecordStore store(directory, kNoLog);
     for (int i = 0; i < 50; ++i) ASSERT_EQ(store.save("world", "x"), std::error_code());
-    EXPECT_EQ(directory.seen_.size(), RecordStore::kMaxRecords);
+    EXPECT_EQ(directory.visible.size(), RecordStore::kMaxRecords);
 }
 
 // ---- The file system and the writer's thread -------------------------------------------------------------
--- a/tests/support/simulated_directory.hpp
+++ b/tests/support/simulated_directory.hpp
@@ -42,19 +42,19 @@
 
     std::error_code list(std::vector<std::string>& names) override {
         names.clear();
-        for (const auto& [name, file] : seen_) names.push_back(name);
+        for (const auto& [name, file] : visible) names.push_back(name);
         return {};
     }
     std::error_code read(const std::string& name, std::string& bytes) override {
-        const auto at = seen_.find(name);
-        if (at == seen_.end()) return make_error_code(std::errc::no_such_file_or_directory);
+        const auto at = visible.find(name);
+        if (at == visible.end()) return make_error_code(std::errc::no_such_file_or_directory);
         bytes = at->second->seen;
         return {};
     }
     std::error_code create(const std::string& name) override {
         if (const std::error_code e = call()) return e;
         open_ = std::make_shared<File>();
-        seen_[name] = open_;
+        visible[name] = open_;
         steps_.push_back({Step::create, name, name, open_});
         return {};
     }
@@ -78,22 +78,22 @@
     }
     std::error_code rename(const std::string& from, const std::string& to) override {
         if (const std::error_code e = call()) return e;
-        const auto at = seen_.find(from);
-        if (at == seen_.end()) return make_error_code(std::errc::no_such_file_or_directory);
-        seen_[to] = at->second;
-        seen_.erase(from);
+        const auto at = visible.find(from);
+        if (at == visible.end()) return make_error_code(std::errc::no_such_file_or_directory);
+        visible[to] = at->second;
+        visible.erase(from);
         steps_.push_back({Step::rename, from, to, nullptr});
         return {};
     }
     std::error_code remove(const std::string& name) override {
         if (const std::error_code e = call()) return e;
-        if (seen_.erase(name) == 0) return make_error_code(std::errc::no_such_file_or_directory);
+        if (visible.erase(name) == 0) return make_error_code(std::errc::no_such_file_or_directory);
         steps_.push_back({Step::remove, name, "", nullptr});
         return {};
     }
     std::error_code sync_directory() override {
         if (const std::error_code e = call()) return e;
-        kept_ = seen_;
+        kept_ = visible;
         steps_.clear();
         return {};
     }
@@ -125,15 +125,15 @@
                     std::string content = file->kept;
                     for (std::size_t u = 0; u < unsure.size(); ++u)
                         if (unsure[u] == file) content = partly(*file, way >> (2 * u) & 3);
-                    after.seen_[name] = std::make_shared<File>(File{content, content});
+                    after.visible[name] = std::make_shared<File>(File{content, content});
                 }
-                after.kept_ = after.seen_;
+                after.kept_ = after.visible;
                 look(after);
             }
         }
     }
 
-    Names seen_;
+    Names visible;
 
 private:
     static std::string partly(const File& file, std::uint32_t way) {
