--- a/bench/guarantee_rows.py
+++ b/bench/guarantee_rows.py
@@ -382,6 +382,11 @@
                 ),
                 "void UpstreamConnection::write_request() {\n",
             ),
+            Edit(
+                RULE_GUARD,
+                "if (now >= earlier.sent_at + request.kind.dedup_window) return Withheld::key_window_over;",
+                "",
+            ),
         ],
         PROXY_TESTS,
         "Attempt.NothingIsWrittenOnceTheServersHaveForgottenItsKey",
@@ -393,7 +398,12 @@
                 SCHEDULER,
                 "const Millis write_before = std::min(request.deadline, RetryPolicy::repeat_deadline(request));",
                 "const Millis write_before = request.deadline;",
-            )
+            ),
+            Edit(
+                RULE_GUARD,
+                "if (now >= earlier.sent_at + request.kind.dedup_window) return Withheld::key_window_over;",
+                "",
+            ),
         ],
         PROXY_TESTS,
         "Attempt.NothingIsWrittenOnceTheServersHaveForgottenItsKey",
