--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -41,14 +41,15 @@
 
 RetryPolicy::RetryPolicy(const Context& context) : context_(context), budget_(kRetryBurst) {}
 
+// The rules are those of docs/RULES.md.
 bool RetryPolicy::may_send(const Request& request, const EndpointRecord& endpoint) const {
     const Millis now = context_.now;
     const bool repeatable = request.request_class.idempotency != Idempotency::not_idempotent;
-    if (request.ended || request.streaming || now >= request.deadline) return false;  // rule 1
+    if (request.ended || request.streaming || now >= request.deadline) return false;  // R1, R2
     if (request.attempts.size() >= request.settings->max_attempts) return false;
-    if (!endpoint.is_serving()) return false;  // rule 3
+    if (!endpoint.is_serving()) return false;  // R6
     if (request.any_in_flight() && (!request.settings->hedging_allowed || !repeatable)) return false;
-    if (!repeatable && request.first_possible_run()) return false;  // rule 2
+    if (!repeatable && request.first_possible_run()) return false;  // R4
     if (now >= repeat_deadline(request)) return false;
     return remembers_earlier_attempts(request, endpoint.info);
 }
--- a/src/proxy/rule_guard.hpp
+++ b/src/proxy/rule_guard.hpp
@@ -89,7 +89,7 @@
     /// Why attempt `number` of the request may not be written to this endpoint now; none if it may.
     std::optional<Withheld> check_send(const RequestFacts& request, std::size_t number,
                                        const EndpointFacts& endpoint, Millis now);
-    /// Whether the request may be rejected, which promises the client that it has not run.
+    /// Whether the request may be rejected, which promises the client that a retry is harmless.
     bool check_rejection(const RequestFacts& request, Millis now);
     /// A final answer is about to be written.
     void check_answer(Millis deadline, Millis now);
