--- a/src/lab/simulated_network.cpp
+++ b/src/lab/simulated_network.cpp
@@ -73,7 +73,7 @@
 void SimFleet::send_and_schedule(std::size_t i, std::vector<replication::Outgoing>& out) {
     for (replication::Outgoing& datagram : out) {
         if (datagram.to != replication::kAll) {
-            inject(i, datagram.to, std::move(datagram.bytes));
+            inject(i, datagram.to, datagram.bytes);
             continue;
         }
         for (std::size_t to = 0; to < members_.size(); ++to)
