--- a/bench/guarantee_rows.py
+++ b/bench/guarantee_rows.py
@@ -296,12 +296,12 @@
             Edit(
                 SHUTDOWN,
                 (
-                    "    if (sidecar_.pending_requests() != 0) return false;\n"
+                    "    if (driver_.pending_requests() != 0) return false;\n"
                     "    return (all_accepted && !listener_.busy()) || clock_.now() >= end_at_;"
                 ),
                 (
                     "    (void)all_accepted;\n"
-                    "    return (sidecar_.pending_requests() == 0 && !listener_.busy()) || clock_.now() >= end_at_;"
+                    "    return (driver_.pending_requests() == 0 && !listener_.busy()) || clock_.now() >= end_at_;"
                 ),
             )
         ],
@@ -396,8 +396,8 @@
         [
             Edit(
                 SCHEDULER,
-                "const Millis write_before = std::min(request.deadline, RetryPolicy::repeat_deadline(request));",
-                "const Millis write_before = request.deadline;",
+                "const Millis write_deadline = std::min(request.deadline, RetryPolicy::repeat_deadline(request));",
+                "const Millis write_deadline = request.deadline;",
             ),
             Edit(
                 RULE_GUARD,
@@ -728,7 +728,7 @@
             Edit(
                 DISCOVERY,
                 "    if (ec == beast::error::timeout)\n        call_timed_out(call",
-                "    if (ec == beast::error::timeout)\n        call_failed(call",
+                "    if (ec == beast::error::timeout)\n        handle_call_failure(call",
             )
         ],
         PROXY_TESTS,
--- a/include/ochregrade/actions.hpp
+++ b/include/ochregrade/actions.hpp
@@ -20,7 +20,7 @@
     Millis give_up_at = 0;  ///< the host ends the attempt as timed out at this time
     /// Written whole before this or not at all (not_sent): later the endpoints may have forgotten the key of
     /// an earlier attempt, and the request would run twice.
-    Millis write_before = 0;
+    Millis write_deadline = 0;
 };
 struct CancelAttempt {
     RequestId id = 0;
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -52,7 +52,7 @@
     }
 
     void on(const EndpointUpdate& update) {
-        if (update.kind == EndpointUpdateKind::failed) return watch.call_failed();
+        if (update.kind == EndpointUpdateKind::failed) return watch.schedule_retry();
         const double capacity_before = endpoints.capacity(slow_start);
         endpoints.apply(update);
         if (watch.has_current_list())  // a cached list is no measure of the load
--- a/src/balancer/endpoint_watch.cpp
+++ b/src/balancer/endpoint_watch.cpp
@@ -17,7 +17,7 @@
 
 void EndpointWatch::subscribe() { context_.act(SubscribeEndpoints{true}); }
 
-void EndpointWatch::call_failed() {
+void EndpointWatch::schedule_retry() {
     const Millis delay = std::min(delay_, longest_delay()) * (0.5 + context_.random.unit());
     timers_.set(context_.now + delay, {TimerPurpose::resubscribe});
     delay_ = std::min(delay_ * 2, longest_delay());
--- a/src/balancer/endpoint_watch.hpp
+++ b/src/balancer/endpoint_watch.hpp
@@ -16,7 +16,7 @@
 
     void subscribe();
     /// The retry must not come in step with other sidecars: the list is one service for all.
-    void call_failed();
+    void schedule_retry();
     /// Not for updates of kind failed.
     void list_received(EndpointUpdateKind kind);
     /// Whether a list other than a cached one has come.
--- a/src/balancer/request_scheduler.cpp
+++ b/src/balancer/request_scheduler.cpp
@@ -76,7 +76,7 @@
 
 void RequestScheduler::send(Request& request, EndpointRecord& endpoint) {
     const bool trial = parts_.outliers.begin_trial(endpoint);
-    const Millis write_before = std::min(request.deadline, RetryPolicy::repeat_deadline(request));
+    const Millis write_deadline = std::min(request.deadline, RetryPolicy::repeat_deadline(request));
     if (!request.attempts.empty()) parts_.retry_policy.record_retry();
     ++endpoint.in_flight;
     parts_.admission.attempt_sent();
@@ -84,7 +84,7 @@
     request.probe_rounds = 0;
     const Endpoint& info = endpoint.info;
     request.attempts.push_back({info.id, info.zone, info.cell, parts_.context.now, true, true, trial});
-    parts_.context.act(SendAttempt{request.id, info.id, request.deadline, write_before});
+    parts_.context.act(SendAttempt{request.id, info.id, request.deadline, write_deadline});
 }
 
 void RequestScheduler::schedule_queued() {
--- a/src/control/metrics.cpp
+++ b/src/control/metrics.cpp
@@ -75,24 +75,24 @@
     out.family("closes_total", "counter", "Connections closed, by side and reason.");
     out.samples("closes_total", node.listener().closes(), "reason", label_of<CloseReason>,
                 "side=\"clients\",");
-    out.samples("closes_total", node.sidecar().server_closes(), "reason", label_of<CloseReason>,
+    out.samples("closes_total", node.driver().server_closes(), "reason", label_of<CloseReason>,
                 "side=\"servers\",");
 }
 
-void write_rules(MetricsWriter& out, const BalancerDriver& sidecar) {
-    const auto& counts = sidecar.rule_guard().counts();
+void write_rules(MetricsWriter& out, const BalancerDriver& driver) {
+    const auto& counts = driver.rule_guard().counts();
     out.family("sends_withheld_total", "counter", "Attempts that the rule guard kept from being written.");
     out.samples("sends_withheld_total", counts.withheld, "reason", label_of<Withheld>);
     out.family("rule_violations_total", "counter",
                "Rules broken, or that would have been but for the guard.");
     out.samples("rule_violations_total", counts.violations, "rule", label_of<Violation>);
-    out.counter("probes_total", sidecar.totals().probes, "Probes of servers.");
-    out.counter("peer_messages_total", sidecar.totals().gossip_sent, "Datagrams to other sidecars.");
+    out.counter("probes_total", driver.totals().probes, "Probes of servers.");
+    out.counter("peer_messages_total", driver.totals().gossip_sent, "Datagrams to other sidecars.");
 }
 
 void write_gauges(MetricsWriter& out, const Node& node) {
     const BalancerDriver::Usage usage = node.usage();
-    out.gauge("unanswered", node.sidecar().pending_requests(), "Requests without a final answer.");
+    out.gauge("unanswered", node.driver().pending_requests(), "Requests without a final answer.");
     out.family("connections", "gauge", "Open connections.");
     out.sample("connections", node.listener().connections(), "{side=\"clients\"}");
     out.sample("connections", usage.connections, "{side=\"servers\"}");
@@ -160,9 +160,9 @@
 
 std::string render_metrics(const Node& node) {
     MetricsWriter out;
-    write_requests(out, node.sidecar().totals());
+    write_requests(out, node.driver().totals());
     write_closes(out, node);
-    write_rules(out, node.sidecar());
+    write_rules(out, node.driver());
     write_gauges(out, node);
     write_config(out, node);
     if (const ReplicationDriver* replication = node.replication()) write_replication(out, *replication);
--- a/src/control/operator_json.cpp
+++ b/src/control/operator_json.cpp
@@ -55,8 +55,8 @@
 json endpoints_json(const Node& node) {
     const BalancerDriver::Usage usage = node.usage();
     std::ostringstream discovery;
-    discovery << node.sidecar().snapshot()->config.discovery_address;
-    return {{"held", node.sidecar().has_endpoints()},
+    discovery << node.driver().snapshot()->config.discovery_address;
+    return {{"held", node.driver().has_endpoints()},
             {"seq", node.discovery().seq()},
             {"servers", usage.endpoints},
             {"removed", usage.ejected},
@@ -99,7 +99,7 @@
 
 json status_json(const Node& node) {
     const std::size_t clients = node.listener().connections();
-    return {{"name", node.sidecar().snapshot()->config.name},
+    return {{"name", node.driver().snapshot()->config.name},
             {"stopping", node.stopping()},
             {"generation", version_json(node.versions().current())},
             {"trial", canary_json(node)},
@@ -107,7 +107,7 @@
             {"list", endpoints_json(node)},
             {"state", state_store_json(node.state_store())},
             {"fleet", replication_json(node.replication())},
-            {"unanswered", node.sidecar().pending_requests()},
+            {"unanswered", node.driver().pending_requests()},
             {"connections", {{"clients", clients}, {"servers", node.usage().connections}}},
             {"changes", changes_json(node.counts())}};
 }
--- a/src/control/operator_requests.cpp
+++ b/src/control/operator_requests.cpp
@@ -77,7 +77,7 @@
     } catch (const ConfigError& error) {
         throw OperatorError(http::status::bad_request, error.what());
     }
-    const json before = json::parse(node.sidecar().snapshot()->config.document);
+    const json before = json::parse(node.driver().snapshot()->config.document);
     const ConfigChange change = node.change(candidate, ConfigVersions::Source::operators, true, options);
     if (change.result != ConfigChange::Result::valid) return change_response(node, change);
     keep_fixed(candidate, before);  // fixed fields that it leaves out stay and are no difference
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -139,7 +139,7 @@
     if (ec == beast::error::timeout)
         call_timed_out(call, ec.message());
     else if (ec)
-        call_failed(call, ec.message());
+        handle_call_failure(call, ec.message());
     return !ec && call_ == call;
 }
 
@@ -147,7 +147,7 @@
 std::optional<EndpointList> DiscoveryClient::parse_response(const CallPtr& call) {
     const auto& response = call->parser.get();
     if (response.result_int() != kOk) {
-        call_failed(call, "status " + std::to_string(response.result_int()));
+        handle_call_failure(call, "status " + std::to_string(response.result_int()));
         return {};
     }
     try {
@@ -205,7 +205,7 @@
 // The current list came from the same source and may be wrong too: the complete list is next.
 void DiscoveryClient::response_invalid(const CallPtr& call, const std::string& reason) {
     complete_list_needed_ = true;
-    call_failed(call, reason);
+    handle_call_failure(call, reason);
 }
 
 // Drops the call under way; false if it has been cancelled already.
@@ -220,7 +220,7 @@
 
 // A call without an answer has changed nothing: asking for the changes since the current list misses none,
 // and is cheaper for discovery than the complete list.
-void DiscoveryClient::call_failed(const CallPtr& call, const std::string& reason) {
+void DiscoveryClient::handle_call_failure(const CallPtr& call, const std::string& reason) {
     if (!drop_failed(call, reason)) return;
     if (!polled_) return retry_soon();
     active_ = false;
--- a/src/discovery/discovery_client.hpp
+++ b/src/discovery/discovery_client.hpp
@@ -59,7 +59,7 @@
     bool claimed_by_others(const EndpointList& list) const;
     void cancel_call();
     bool drop_failed(const CallPtr& call, const std::string& reason);
-    void call_failed(const CallPtr& call, const std::string& reason);
+    void handle_call_failure(const CallPtr& call, const std::string& reason);
     void response_invalid(const CallPtr& call, const std::string& reason);
     void call_timed_out(const CallPtr& call, const std::string& reason);
     void retry_soon();
--- a/src/process/config_manager.cpp
+++ b/src/process/config_manager.cpp
@@ -47,19 +47,19 @@
            [this](const ConfigVersions::Rollback& rollback) { return roll_back_canary(rollback); }}) {}
 
 ConfigChange ConfigManager::ended(Result result, std::string note) const {
-    return {result, parts_.sidecar.snapshot()->version, {}, std::move(note)};
+    return {result, parts_.driver.snapshot()->version, {}, std::move(note)};
 }
 
 ConfigChange ConfigManager::reject(std::vector<ValidationError> errors, bool dry_run) {
     if (!dry_run) count_rejected();
-    return {Result::rejected, parts_.sidecar.snapshot()->version, std::move(errors), {}};
+    return {Result::rejected, parts_.driver.snapshot()->version, std::move(errors), {}};
 }
 
 ConfigChange ConfigManager::change(const nlohmann::json& candidate, Source source, bool strict,
                                    const ConfigChangeOptions& options) {
     const Millis start = parts_.clock.now();
     const auto& expected = options.expected_version;
-    if (expected && *expected != parts_.sidecar.snapshot()->version)
+    if (expected && *expected != parts_.driver.snapshot()->version)
         return ended(Result::conflict, "another generation is in force");
     ConfigChange result;
     try {
@@ -78,7 +78,7 @@
 
 ConfigChange ConfigManager::try_change(const nlohmann::json& candidate, Source source, bool strict,
                                        const ConfigChangeOptions& options) {
-    const ConfigSnapshotPtr running = parts_.sidecar.snapshot();
+    const ConfigSnapshotPtr running = parts_.driver.snapshot();
     Config config = read_candidate(candidate, running->config, strict);
     const CanaryRule rule = options.canary.value_or(config.canary);
     if (!strict) log_unknown_fields(candidate);
@@ -110,7 +110,7 @@
 
 ConfigChange ConfigManager::roll_back(std::optional<std::uint64_t> version,
                                       std::optional<std::uint64_t> expected) {
-    const std::uint64_t running = parts_.sidecar.snapshot()->version;
+    const std::uint64_t running = parts_.driver.snapshot()->version;
     if (expected && *expected != running) return ended(Result::conflict, "another generation is in force");
     const ConfigVersions::Entry* target =
         version ? parts_.versions.find(*version) : parts_.versions.previous();
@@ -143,7 +143,7 @@
 
 ConfigManager::Prepared ConfigManager::prepare(Config config) {
     Prepared prepared;
-    check_descriptors(config, parts_.sidecar.snapshot()->config);
+    check_descriptors(config, parts_.driver.snapshot()->config);
     prepared.replaces_peers = parts_.peers.differs(config);
     if (prepared.replaces_peers) {
         try {
@@ -158,7 +158,7 @@
 
 // A version of an earlier run may have other fixed fields than this one.
 ConfigManager::Prepared ConfigManager::prepare_version(const ConfigVersions::Entry& entry) {
-    const Config& running = parts_.sidecar.snapshot()->config;
+    const Config& running = parts_.driver.snapshot()->config;
     nlohmann::json document = nlohmann::json::parse(entry.snapshot->config.document);
     const nlohmann::json running_document = nlohmann::json::parse(running.document);
     for (const char* field : {"name", "listen"}) document[field] = running_document.at(field);
@@ -172,7 +172,7 @@
 void ConfigManager::commit(Prepared prepared, Source source, std::uint64_t content_version,
                            const CanaryRule& rule) {
     const Millis start = parts_.clock.now();
-    const ConfigSnapshotPtr before = parts_.sidecar.snapshot();  // alive until the end of the commit
+    const ConfigSnapshotPtr before = parts_.driver.snapshot();  // alive until the end of the commit
     const bool is_rollback = source == Source::rollback || source == Source::canary;
     if (is_rollback && before->epoch > 0) prepared.snapshot->epoch = before->epoch + 1;
     apply(prepared);
@@ -189,10 +189,10 @@
 void ConfigManager::apply(Prepared& prepared) {
     const Config& config = prepared.snapshot->config;
     parts_.discovery.set_polled(config.settings.polled_discovery);
-    parts_.sidecar.apply(prepared.snapshot, upstream_limits(config));
+    parts_.driver.apply(prepared.snapshot, upstream_limits(config));
     if (prepared.replaces_peers) {
         parts_.peers.replace(std::move(prepared.peers));
-        parts_.sidecar.connect_to(parts_.discovery, parts_.peers.transport());
+        parts_.driver.connect_to(parts_.discovery, parts_.peers.transport());
     } else {
         parts_.peers.set_peers(config);
     }
--- a/src/process/config_manager.hpp
+++ b/src/process/config_manager.hpp
@@ -32,7 +32,7 @@
         const Clock& clock;
         Zones& zones;
         ConfigVersions& versions;
-        BalancerDriver& sidecar;
+        BalancerDriver& driver;
         Listener& listener;
         DiscoveryClient& discovery;
         PeerLink& peers;
--- a/src/process/graceful_shutdown.cpp
+++ b/src/process/graceful_shutdown.cpp
@@ -22,12 +22,12 @@
 }  // namespace
 
 GracefulShutdown::GracefulShutdown(asio::io_context& io, const Clock& clock, Listener& listener,
-                                   const BalancerDriver& sidecar)
-    : clock_(clock), listener_(listener), sidecar_(sidecar), timer_(io) {}
+                                   const BalancerDriver& driver)
+    : clock_(clock), listener_(listener), driver_(driver), timer_(io) {}
 
 void GracefulShutdown::start(std::function<void()> done) {
     done_ = std::move(done);
-    const Millis longest_deadline = sidecar_.snapshot()->config.longest_deadline;
+    const Millis longest_deadline = driver_.snapshot()->config.longest_deadline;
     end_at_ = clock_.now() + longest_deadline + kLastMoment;
     reject_incomplete_at_ = clock_.now() + std::min(longest_deadline, kKillAfter) + kLastMoment - kAnswerTime;
     listener_.drain(reject_incomplete_at_);
@@ -59,7 +59,7 @@
 // Requests that began under an older configuration may have longer deadlines than the one in force at the
 // signal; each of them is waited for.
 bool GracefulShutdown::finished(bool all_accepted) const {
-    if (sidecar_.pending_requests() != 0) return false;
+    if (driver_.pending_requests() != 0) return false;
     return (all_accepted && !listener_.busy()) || clock_.now() >= end_at_;
 }
 
--- a/src/process/graceful_shutdown.hpp
+++ b/src/process/graceful_shutdown.hpp
@@ -15,7 +15,7 @@
 public:
     /// The parts must outlive it.
     GracefulShutdown(asio::io_context& io, const Clock& clock, Listener& listener,
-                     const BalancerDriver& sidecar);
+                     const BalancerDriver& driver);
 
     /// To be called once. `done` is called when no request is unanswered, or at the latest when all deadlines
     /// have passed and nothing is pending.
@@ -29,7 +29,7 @@
 
     const Clock& clock_;
     Listener& listener_;
-    const BalancerDriver& sidecar_;
+    const BalancerDriver& driver_;
     asio::steady_timer timer_;
     std::function<void()> done_;
     Millis reject_incomplete_at_ = 0;
--- a/src/process/node.cpp
+++ b/src/process/node.cpp
@@ -32,31 +32,31 @@
 
 Node::Node(asio::io_context& io, Start start)
     : io_(io),
-      sidecar_(io, clock_, zones_,
-               make_snapshot(start.config, first_version(versions_, start.recovered), zones_),
-               upstream_limits(start.config)),
-      listener_(io, clock_, sidecar_, listener_limits(start.config)),
+      driver_(io, clock_, zones_,
+              make_snapshot(start.config, first_version(versions_, start.recovered), zones_),
+              upstream_limits(start.config)),
+      listener_(io, clock_, driver_, listener_limits(start.config)),
       peers_(io, [this](std::uint32_t from,
                         std::vector<std::uint8_t> bytes) { datagram_received(from, std::move(bytes)); }),
       discovery_(io, start.config.discovery_address, known_seq(start), start.config.settings.polled_discovery,
                  ~start.config.seed,
                  {[this](const EndpointList& list) { endpoints_received(list); },
-                  [this] { sidecar_.endpoints_failed(); }}),
-      replication_({io, clock_, sidecar_, discovery_, peers_}, [this] { reload(); }),
-      persistence_(io, clock_, std::move(start.state_store), sidecar_, discovery_),
-      config_manager_({io, clock_, zones_, versions_, sidecar_, listener_, discovery_, peers_, replication_,
-                       persistence_},
-                      start.file_document),
+                  [this] { driver_.endpoints_failed(); }}),
+      replication_({io, clock_, driver_, discovery_, peers_}, [this] { reload(); }),
+      persistence_(io, clock_, std::move(start.state_store), driver_, discovery_),
+      config_manager_(
+          {io, clock_, zones_, versions_, driver_, listener_, discovery_, peers_, replication_, persistence_},
+          start.file_document),
       reloader_(io, config_manager_),
-      shutdown_(io, clock_, listener_, sidecar_) {
-    const Config& config = sidecar_.snapshot()->config;
+      shutdown_(io, clock_, listener_, driver_) {
+    const Config& config = driver_.snapshot()->config;
     versions_.restore(std::move(start.recovered.versions));
-    versions_.commit(sidecar_.snapshot(), start.source, versions_.first_with(config.document), {},
+    versions_.commit(driver_.snapshot(), start.source, versions_.first_with(config.document), {},
                      clock_.now());
     wire_handlers();
     open_sockets(config);
-    sidecar_.start();
-    if (!start.recovered.snapshots.empty()) sidecar_.restore(start.recovered.snapshots);
+    driver_.start();
+    if (!start.recovered.snapshots.empty()) driver_.restore(start.recovered.snapshots);
     if (!config.settings.polled_discovery) discovery_.watch(true);
     listener_.open_for_use();
     config_manager_.persist_config();
@@ -67,10 +67,10 @@
 Node::~Node() = default;
 
 void Node::wire_handlers() {
-    sidecar_.on_final_answer = [this](std::uint64_t version, bool served) {
+    driver_.on_final_answer = [this](std::uint64_t version, bool served) {
         versions_.record_answer(version, served, clock_.now());
     };
-    sidecar_.on_evidence = [this](replication::EndpointKey endpoint, const replication::Evidence& evidence) {
+    driver_.on_evidence = [this](replication::EndpointKey endpoint, const replication::Evidence& evidence) {
         replication_.publish(endpoint, evidence);
     };
     listener_.on_invalid_request = [this](const ConfigSnapshotPtr& snapshot, const HttpRequest& head) {
@@ -81,7 +81,7 @@
 void Node::open_sockets(const Config& config) {
     peers_.replace(listen_with_retry("peer_listen", config.peer_listen.value_or(udp::endpoint()),
                                      [&] { return peers_.open(config); }));
-    sidecar_.connect_to(discovery_, peers_.transport());
+    driver_.connect_to(discovery_, peers_.transport());
     listener_.listen(config.listen);
     if (config.operator_endpoint)
         operator_endpoint_ = listen_with_retry("ochregrade.admin.listen", *config.operator_endpoint, [&] {
@@ -95,11 +95,11 @@
 
 void Node::datagram_received(std::uint32_t from, std::vector<std::uint8_t> bytes) {
     if (replication::is_shared_state(bytes)) return replication_.receive(from, bytes);
-    sidecar_.gossip_received(from, std::move(bytes));
+    driver_.gossip_received(from, std::move(bytes));
 }
 
 void Node::endpoints_received(const EndpointList& list) {
-    sidecar_.endpoints_received(list);
+    driver_.endpoints_received(list);
     replication_.publish_withdrawn(list);
     replication_.publish_versions();
 }
--- a/src/process/node.hpp
+++ b/src/process/node.hpp
@@ -51,7 +51,7 @@
 
     const ConfigCounts& counts() const { return config_manager_.counts(); }
     const ConfigVersions& versions() const { return versions_; }
-    const BalancerDriver& sidecar() const { return sidecar_; }
+    const BalancerDriver& driver() const { return driver_; }
     const Listener& listener() const { return listener_; }
     const DiscoveryClient& discovery() const { return discovery_; }
     const Clock& clock() const { return clock_; }
@@ -62,7 +62,7 @@
     /// Null: no state folder is configured.
     StateStore* state_store() const { return persistence_.store(); }
     bool stopping() const { return shutdown_.started(); }
-    BalancerDriver::Usage usage() const { return sidecar_.usage(); }
+    BalancerDriver::Usage usage() const { return driver_.usage(); }
 
 private:
     void wire_handlers();
@@ -75,7 +75,7 @@
     Clock clock_;
     Zones zones_;
     ConfigVersions versions_;
-    BalancerDriver sidecar_;
+    BalancerDriver driver_;
     Listener listener_;
     PeerLink peers_;
     DiscoveryClient discovery_;
--- a/src/process/replication_link.cpp
+++ b/src/process/replication_link.cpp
@@ -29,7 +29,7 @@
     return {[this](std::optional<std::uint32_t> to, const std::vector<std::uint8_t>& bytes) {
                 if (GossipTransport* transport = parts_.peers.transport()) transport->send(to, bytes);
             },
-            [this] { parts_.sidecar.evidence_received(driver_->replica().evidence()); },
+            [this] { parts_.balancer_driver.evidence_received(driver_->replica().evidence()); },
             [this](const replication::VersionId& claimed) {
                 parts_.discovery.poll_now(claimed.major, claimed.minor);
             },
@@ -49,7 +49,7 @@
 }
 
 replication::Versions ReplicationLink::current_versions() const {
-    const ConfigSnapshot& snapshot = *parts_.sidecar.snapshot();
+    const ConfigSnapshot& snapshot = *parts_.balancer_driver.snapshot();
     const std::uint32_t hash = snapshot.epoch != 0 ? snapshot.config.settings_hash : 0;
     const std::uint64_t max_seq = std::numeric_limits<std::uint32_t>::max();
     const auto seq = static_cast<std::uint32_t>(std::min(parts_.discovery.seq(), max_seq));
@@ -74,7 +74,7 @@
     if (!driver_) return;
     for (const ListedEndpoint& endpoint : list.endpoints)
         if (endpoint.state != EndpointState::serving)
-            driver_->report_withdrawn(parts_.sidecar.endpoint_key_of(endpoint));
+            driver_->report_withdrawn(parts_.balancer_driver.endpoint_key_of(endpoint));
 }
 
 bool ReplicationLink::settle_epoch(std::uint32_t epoch) {
--- a/src/process/replication_link.hpp
+++ b/src/process/replication_link.hpp
@@ -22,7 +22,7 @@
     struct Parts {
         asio::io_context& io;
         const Clock& clock;
-        BalancerDriver& sidecar;
+        BalancerDriver& balancer_driver;
         DiscoveryClient& discovery;
         PeerLink& peers;
     };
--- a/src/process/state_persistence.cpp
+++ b/src/process/state_persistence.cpp
@@ -12,11 +12,11 @@
 }  // namespace
 
 StatePersistence::StatePersistence(asio::io_context& io, const Clock& clock,
-                                   std::unique_ptr<StateStore> store, const BalancerDriver& sidecar,
+                                   std::unique_ptr<StateStore> store, const BalancerDriver& driver,
                                    const DiscoveryClient& discovery)
     : clock_(clock),
       store_(std::move(store)),
-      sidecar_(sidecar),
+      driver_(driver),
       discovery_(discovery),
       timer_(io),
       started_at_(clock.now()) {}
@@ -46,11 +46,11 @@
 
 void StatePersistence::persist_endpoints() {
     if (discovery_.seq() == 0) return;  // discovery has not told any
-    EndpointList list = sidecar_.endpoints();
+    EndpointList list = driver_.endpoints();
     list.seq = discovery_.seq();
     std::ostringstream address;
-    address << sidecar_.snapshot()->config.discovery_address;
-    store_->save_endpoints(list, address.str(), sidecar_.endpoint_snapshots());
+    address << driver_.snapshot()->config.discovery_address;
+    store_->save_endpoints(list, address.str(), driver_.endpoint_snapshots());
 }
 
 void StatePersistence::finish() {
--- a/src/process/state_persistence.hpp
+++ b/src/process/state_persistence.hpp
@@ -17,7 +17,7 @@
 public:
     /// `store` null: nothing is persisted. The other parts must outlive it.
     StatePersistence(asio::io_context& io, const Clock& clock, std::unique_ptr<StateStore> store,
-                     const BalancerDriver& sidecar, const DiscoveryClient& discovery);
+                     const BalancerDriver& driver, const DiscoveryClient& discovery);
 
     /// `stable_uptime`: after so long the run is confirmed.
     void start(Millis stable_uptime);
@@ -34,7 +34,7 @@
 
     const Clock& clock_;
     std::unique_ptr<StateStore> store_;
-    const BalancerDriver& sidecar_;
+    const BalancerDriver& driver_;
     const DiscoveryClient& discovery_;
     asio::steady_timer timer_;
     Millis started_at_;
--- a/src/proxy/balancer_driver_actions.cpp
+++ b/src/proxy/balancer_driver_actions.cpp
@@ -50,7 +50,7 @@
     rule_guard_.check_propagated_deadline(action.give_up_at, request->facts.deadline);
     timers_.add_timeout(action.give_up_at, key);
     upstream_.send(key, action.endpoint, endpoint->address, request->message, action.give_up_at,
-                   action.write_before, request->snapshot->config.connect_timeout);
+                   action.write_deadline, request->snapshot->config.connect_timeout);
 }
 
 void BalancerDriver::count_attempt(AttemptKey key, const PendingRequest& request) {
--- a/tests/balancer/endpoint_watch_test.cpp
+++ b/tests/balancer/endpoint_watch_test.cpp
@@ -13,7 +13,7 @@
     explicit WatchFixture(const Settings& settings = make_settings()) : ModuleFixture(settings) {}
     /// The delay after a failed call.
     Millis fail() {
-        watch.call_failed();
+        watch.schedule_retry();
         return actions_of<SetTimer>().back().at - context.now;
     }
 
--- a/tests/balancer/replay_test.cpp
+++ b/tests/balancer/replay_test.cpp
@@ -57,7 +57,7 @@
     fold.number(a.id);
     fold.number(a.endpoint);
     fold.real(a.give_up_at);
-    fold.real(a.write_before);
+    fold.real(a.write_deadline);
 }
 void fold_action(Fold& fold, const CancelAttempt& a) {
     fold.number(a.id);
--- a/tests/process/config_manager_test.cpp
+++ b/tests/process/config_manager_test.cpp
@@ -149,7 +149,7 @@
     // A rollback is an epoch of its own: 5 is taken, what follows needs a newer one.
     EXPECT_EQ(ops.post("/v1/config/rollback").at("result"), "applied");
     EXPECT_EQ(ask(sidecar.at, "listen"), 200u);
-    EXPECT_EQ(sidecar.in_loop([&] { return sidecar.node().sidecar().snapshot()->epoch; }), 5u);
+    EXPECT_EQ(sidecar.in_loop([&] { return sidecar.node().driver().snapshot()->epoch; }), 5u);
     EXPECT_TRUE(rejected(next));
     next["ochregrade"]["epoch"] = 6;
     EXPECT_EQ(ops.post("/v1/config", next).at("result"), "applied");
--- a/tests/proxy/drain_test.cpp
+++ b/tests/proxy/drain_test.cpp
@@ -143,7 +143,7 @@
     }),
               ConfigChange::Result::applied);
     std::promise<std::size_t> unanswered;
-    sidecar.stop([&] { unanswered.set_value(sidecar.node().sidecar().pending_requests()); });
+    sidecar.stop([&] { unanswered.set_value(sidecar.node().driver().pending_requests()); });
     EXPECT_EQ(unanswered.get_future().get(), 0u);
     EXPECT_EQ(app.answer().result_int(), 502u);
 }
--- a/tests/support/balancer_fixture.hpp
+++ b/tests/support/balancer_fixture.hpp
@@ -238,7 +238,7 @@
         }
         if (first && r.kind.idempotency == Idempotency::idempotent_with_key) {
             EXPECT_LT(now, first->at + r.kind.dedup_window) << "rule 2: after the window";
-            EXPECT_LE(send.write_before, first->at + r.kind.dedup_window)
+            EXPECT_LE(send.write_deadline, first->at + r.kind.dedup_window)
                 << "rule 2: it may arrive after the window";
         }
         r.sent.push_back(
