--- a/bench/guarantee_rows.py
+++ b/bench/guarantee_rows.py
@@ -323,7 +323,7 @@
     Guarantee(
         "a draining server gets no retries",
         [
-            Edit(RETRY_POLICY, "if (!endpoint.is_serving()) return false;  // rule 3", ""),
+            Edit(RETRY_POLICY, "if (!endpoint.is_serving()) return false;  // R6", ""),
             Edit(
                 ENDPOINTS,
                 "        if (!record.is_serving()) continue;\n",
@@ -538,7 +538,7 @@
     ),
     Guarantee(
         "a request whose connection was reset may have run",
-        [Edit(RETRY_POLICY, "if (!repeatable && request.first_possible_run()) return false;  // rule 2", "")],
+        [Edit(RETRY_POLICY, "if (!repeatable && request.first_possible_run()) return false;  // R4", "")],
         PROXY_TESTS,
         "All/Endings.AreToldTruly/reset_once",
     ),
