--- a/src/lab/fault_executor.cpp
+++ b/src/lab/fault_executor.cpp
@@ -109,7 +109,7 @@
     }
     announce(active, {{"sidecars", chosen}});
     co_await wait_until_over(active);
-    start_again(chosen);
+    restart_sidecars(chosen);
 }
 
 FaultExecutor::Task FaultExecutor::stop_sidecars(ActiveFault& active) {
@@ -126,7 +126,7 @@
         std::vector<int> group;
         for (int i = first; i < experiment_.sidecars; i += kRestartGroups) group.push_back(i);
         co_await terminate(group);
-        start_again(group);
+        restart_sidecars(group);
         co_await wait_until_over(active);
     }
 }
@@ -148,7 +148,7 @@
                        [this](int sidecar) { return targets_.fleet.running(sidecar); });
 }
 
-void FaultExecutor::start_again(const std::vector<int>& sidecars) {
+void FaultExecutor::restart_sidecars(const std::vector<int>& sidecars) {
     for (const int sidecar : sidecars) {
         targets_.fleet.reap();
         targets_.clients.forget_connections(sidecar);
--- a/src/lab/fault_executor.hpp
+++ b/src/lab/fault_executor.hpp
@@ -70,7 +70,7 @@
     Task restart_fleet(ActiveFault& active);
     Task change_settings(ActiveFault& active);
     Task terminate(std::vector<int> sidecars);
-    void start_again(const std::vector<int>& sidecars);
+    void restart_sidecars(const std::vector<int>& sidecars);
     bool any_running(const std::vector<int>& sidecars) const;
 
     // Faults of the servers.
--- a/src/lab/summary.cpp
+++ b/src/lab/summary.cpp
@@ -16,8 +16,8 @@
     return std::accumulate(values.begin() + from, values.end(), 0.0);
 }
 
-double share(std::uint64_t part, std::uint64_t whole, double of_none) {
-    return whole > 0 ? static_cast<double>(part) / static_cast<double>(whole) : of_none;
+double share(std::uint64_t part, std::uint64_t total_count, double of_none) {
+    return total_count > 0 ? static_cast<double>(part) / static_cast<double>(total_count) : of_none;
 }
 
 // Requests of each server from second `from` on.
