--- a/src/lab/simulated_network.cpp
+++ b/src/lab/simulated_network.cpp
@@ -144,13 +144,14 @@
     return true;
 }
 
-void SimFleet::say(std::size_t i, replication::EndpointKey server, const replication::Evidence& evidence) {
+void SimFleet::publish(std::size_t i, replication::EndpointKey server,
+                       const replication::Evidence& evidence) {
     members_[i].replica->publish(clock(i), server, evidence);
     std::vector<replication::Outgoing> none;
     send_and_schedule(i, none);
 }
 
-void SimFleet::say(std::size_t i, const replication::Versions& versions) {
+void SimFleet::publish(std::size_t i, const replication::Versions& versions) {
     members_[i].replica->publish(clock(i), versions);
     std::vector<replication::Outgoing> none;
     send_and_schedule(i, none);
--- a/src/lab/simulated_network.hpp
+++ b/src/lab/simulated_network.hpp
@@ -48,8 +48,8 @@
     bool run_until(const std::function<bool()>& done, Millis at_most, Millis poll_interval = 10);
 
     /// Publishes what a member observed of a server, or the versions that it acts on.
-    void say(std::size_t i, replication::EndpointKey server, const replication::Evidence& evidence);
-    void say(std::size_t i, const replication::Versions& versions);
+    void publish(std::size_t i, replication::EndpointKey server, const replication::Evidence& evidence);
+    void publish(std::size_t i, const replication::Versions& versions);
     /// As if `from` had sent these bytes, whatever they are.
     void inject(std::size_t from, std::size_t to, const replication::Bytes& bytes);
 
--- a/tests/replication/fleet_convergence_test.cpp
+++ b/tests/replication/fleet_convergence_test.cpp
@@ -87,14 +87,14 @@
 
     void publish(std::size_t i, int step) {
         if (!fleet_.up(i)) return;
-        fleet_.say(i, static_cast<EndpointKey>(below(4)), {1, static_cast<std::uint8_t>(below(9)), 0, 0});
-        fleet_.say(i, Versions{static_cast<std::uint32_t>(step), 1, 1, 1});
+        fleet_.publish(i, static_cast<EndpointKey>(below(4)), {1, static_cast<std::uint8_t>(below(9)), 0, 0});
+        fleet_.publish(i, Versions{static_cast<std::uint32_t>(step), 1, 1, 1});
     }
 
     void publish_last_records() {
         for (std::size_t i = 0; i < fleet_.size(); ++i)
             for (EndpointKey endpoint = 10; fleet_.up(i) && endpoint < 16; ++endpoint)
-                fleet_.say(i, endpoint, {2, 1, 0, 0});
+                fleet_.publish(i, endpoint, {2, 1, 0, 0});
     }
 
     void end_faults() {
@@ -144,7 +144,7 @@
         SimFleet f(60, 3, {loss, 0.1, 1, 26});
         f.start_all();
         f.run_for(8000);
-        for (std::size_t i = 0; i < 60; i += 12) f.say(i, 42, {0, 3, 0, 0});
+        for (std::size_t i = 0; i < 60; i += 12) f.publish(i, 42, {0, 3, 0, 0});
         const bool known =
             f.run_until([&] { return members_knowing(f, 42) >= 55; }, loss > 0.3 ? 8000 : 2000);
         EXPECT_TRUE(known) << "loss " << loss << ": " << members_knowing(f, 42);
@@ -167,7 +167,7 @@
     SimFleet f(60, 5, {0.05, 0.05, 1, 26});
     f.start_all();
     f.run_for(5000);
-    f.say(0, Versions{7, 1, 1, 40});
+    f.publish(0, Versions{7, 1, 1, 40});
     f.run_for(2000);
     for (std::size_t i = 18; i < 60; ++i) f.kill(i);
     f.run_for(2000);
@@ -191,7 +191,7 @@
     f.run_for(15000);
     EXPECT_EQ(f.at(0).member(4).member_state().status, Status::dead);
     const auto suspected = f.at(4).counts().suspected;
-    f.say(1, Versions{9, 1, 1, 1});
+    f.publish(1, Versions{9, 1, 1, 1});
     f.run_for(1000);
     f.resume(4);
     EXPECT_TRUE(f.run_until([&] { return f.at(4).member(1).versions() && all_know_who_runs(f); }, 8000));
@@ -207,7 +207,7 @@
         f.cut({0, 1, 2, 3, 4, 5}, inbound, true);
         f.run_for(20000);
         EXPECT_EQ(f.at(10).member(0).member_state().status, Status::dead);
-        f.say(0, Versions{3, 1, 1, 1});
+        f.publish(0, Versions{3, 1, 1, 1});
         f.heal();
         EXPECT_TRUE(f.run_until([&] { return f.agree() && all_know_who_runs(f); }, 30000, 250));
         EXPECT_TRUE(f.at(20).member(0).versions());
--- a/tests/replication/version_agreement_test.cpp
+++ b/tests/replication/version_agreement_test.cpp
@@ -78,7 +78,7 @@
         fleet_.run_for(6000);
         for (std::size_t i = 0; i < members_; ++i) {
             followers_.emplace_back(kListPacing, seed * 100 + i);
-            fleet_.say(i, Versions{0, 0, 1, 41});
+            fleet_.publish(i, Versions{0, 0, 1, 41});
         }
         fleet_.run_for(3000);
     }
@@ -146,7 +146,7 @@
         notified_at_[i] = kNotNotified;
         own_[i] = newest_;
         first_seen_.try_emplace(newest_, fleet_.now());
-        fleet_.say(i, Versions{0, 0, newest_.major, newest_.minor});
+        fleet_.publish(i, Versions{0, 0, newest_.major, newest_.minor});
     }
 
     void measure() {
