--- a/bench/guarantee_rows.py
+++ b/bench/guarantee_rows.py
@@ -134,7 +134,7 @@
         "short pauses after failed discovery calls",
         [Edit(ENDPOINT_WATCH, "kMaxRetryDelay = 2000", "kMaxRetryDelay = 8000")],
         BALANCER_TESTS,
-        "Rule3.PausesBetweenFailedCallsKeepWithinTheTimeForAsking",
+        "EndpointDiscovery.ThePollIntervalBoundsTheBackoffAfterFailedCalls",
     ),
     Guarantee(
         "the end of a response without a length",
@@ -577,7 +577,7 @@
             )
         ],
         BALANCER_TESTS,
-        "Rules.HoldOverRandomLegalLives",
+        "Rules.HoldOverRandomLegalEventSequences",
     ),
     Guarantee(
         "half a request is answered with 408",
@@ -699,7 +699,7 @@
             )
         ],
         BALANCER_TESTS,
-        "Rules.HoldForEachRequestByTheSettingsItBeganWith",
+        "Rules.HoldForEachRequestByTheSettingsItArrivedUnder",
     ),
     Guarantee(
         "a lowered connection limit waits for the responses",
@@ -720,7 +720,7 @@
             )
         ],
         BALANCER_TESTS,
-        "Change.WhatWasLearntAboutServersStays",
+        "SettingsChange.TheStateOfEndpointsIsKept",
     ),
     Guarantee(
         "a discovery call that timed out is repeated",
@@ -786,13 +786,13 @@
             )
         ],
         BALANCER_TESTS,
-        "Gossip.CostsASidecarNoMoreInALargerFleet",
+        "GossipVolume.MessagesPerSidecarDoNotGrowWithTheFleet",
     ),
     Guarantee(
         "no repeat at the very end of a deduplication window",
         [Edit(RETRY_POLICY, " - std::min(kWriteDelay, window * kMaxWriteDelayShare)", "")],
         BALANCER_TESTS,
-        "Rule2.ByKeyIsNotRepeatedInTheLastMomentOfItsWindow",
+        "Idempotency.ARequestWithAKeyIsNotRetriedAtTheEndOfItsWindow",
     ),
     Guarantee(
         "a request ends before the pipelined ones behind it are due",
--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -8,36 +8,38 @@
 namespace {
 
 // A rig with `count` warm servers and one long-lived class.
-Rig pool(EndpointId count, std::uint64_t seed = 1, Idempotency effect = Idempotency::not_idempotent) {
-    Rig rig(make_settings({make_class(effect)}), seed);
+Rig pool(EndpointId count, std::uint64_t seed = 1, Idempotency idempotency = Idempotency::not_idempotent) {
+    Rig rig(make_settings({make_class(idempotency)}), seed);
     rig.list(EndpointUpdateKind::full, make_servers(count));
     return rig;
 }
 
-// One request after another; those that meet `bad` end as `outcome`, the others are served.
-int play(Rig& rig, int requests, const std::set<EndpointId>& bad, Outcome outcome, Millis gap = 10) {
+// One request after another; those that meet `failing` end as `outcome`, the others are served.
+int run_requests(Rig& rig, int requests, const std::set<EndpointId>& failing, Outcome outcome,
+                 Millis duration = 10) {
     int met = 0;
     for (int i = 0; i < requests; ++i) {
         const RequestId id = rig.request();
         if (!rig.out(id)) continue;
-        const bool failing = bad.count(rig.where(id)) > 0;
-        met += failing;
-        rig.end(id, failing ? outcome : Outcome::success, gap);
+        const bool is_failing = failing.count(rig.where(id)) > 0;
+        met += is_failing;
+        rig.end(id, is_failing ? outcome : Outcome::success, duration);
     }
     return met;
 }
 
-TEST(Verdict, AServerThatFailsLeavesThePoolAndStaysOutForTheBackoff) {
+TEST(OutlierDetection, AFailingEndpointIsEjectedForTheBackoff) {
     Rig rig = pool(4);
-    EXPECT_GT(play(rig, 120, {1}, Outcome::server_error), 0);
+    EXPECT_GT(run_requests(rig, 120, {1}, Outcome::server_error), 0);
     EXPECT_EQ(rig.removals(), 1);
-    EXPECT_EQ(play(rig, 120, {1}, Outcome::server_error), 0) << "within the backoff nothing goes to it";
+    EXPECT_EQ(run_requests(rig, 120, {1}, Outcome::server_error), 0)
+        << "within the backoff nothing goes to it";
 }
 
-TEST(Verdict, TwoFailuresInTwentyAreBorneAndThreeAreNot) {
+TEST(OutlierDetection, ThreeFailuresInTwentyEjectAndTwoDoNot) {
     for (const int failures : {2, 3}) {
         Rig rig = pool(4);
-        play(rig, 400, {}, Outcome::success);  // full windows of successes
+        run_requests(rig, 400, {}, Outcome::success);  // full windows of successes
         int left = failures;
         while (left > 0) {
             const RequestId id = rig.request();
@@ -49,7 +51,7 @@
     }
 }
 
-TEST(Verdict, OldOutcomesLeaveTheWindow) {
+TEST(OutlierDetection, OldOutcomesLeaveTheWindow) {
     Rig rig = pool(4);
     int failed = 0;
     for (int i = 0, on_one = 0; i < 3000; ++i) {
@@ -62,7 +64,7 @@
     EXPECT_EQ(rig.removals(), 0);
 }
 
-TEST(Verdict, AnswersPastTheirAimCountAsFailures) {
+TEST(OutlierDetection, ResponsesPastTheLatencyObjectiveCountAsFailures) {
     Rig rig = pool(8);
     for (int round = 0; round < 20 && rig.removals() == 0; ++round) {
         const auto ids = rig.burst(32, 5000);  // several to each server at once
@@ -77,7 +79,7 @@
     EXPECT_NE(rig.where(rig.request()), 1U);
 }
 
-TEST(Verdict, SharedFailureRemovesNobody) {
+TEST(OutlierDetection, FailuresOfAllEndpointsEjectNone) {
     Rig rig = pool(6);
     for (int i = 0; i < 600; ++i) {
         const RequestId id = rig.request();
@@ -86,17 +88,17 @@
     EXPECT_EQ(rig.removals(), 0) << "every third request fails everywhere: that tells nothing of a server";
 }
 
-TEST(Verdict, PanicThresholdKeepsHalfOfThePool) {
+TEST(OutlierDetection, ThePanicThresholdKeepsHalfOfThePool) {
     Rig rig = pool(6);
-    for (EndpointId bad = 1; bad <= 5; ++bad) {  // one after the other, so that each stands out
-        play(rig, 60, {bad}, Outcome::server_error);
-        EXPECT_EQ(rig.removals(), std::min<int>(3, static_cast<int>(bad)));
+    for (EndpointId failing = 1; failing <= 5; ++failing) {  // one after the other, so that each stands out
+        run_requests(rig, 60, {failing}, Outcome::server_error);
+        EXPECT_EQ(rig.removals(), std::min<int>(3, static_cast<int>(failing)));
     }
 }
 
-TEST(Verdict, WhatIsCertainNeedNotWaitForAFullWindow) {
+TEST(OutlierDetection, EjectionDoesNotWaitForAFullWindow) {
     Rig rig = pool(4);
-    const int met = play(rig, 200, {1}, Outcome::connection_reset);
+    const int met = run_requests(rig, 200, {1}, Outcome::connection_reset);
     EXPECT_EQ(rig.removals(), 1);
     EXPECT_EQ(met, 3) << "three failures of any twenty are under 0.9";
 }
@@ -104,8 +106,8 @@
 // ---- Half-open trial ------------------------------------------------------------------------------------
 
 // Server 1 removed and its backoff just over; returns the request that is its trial.
-RequestId trial(Rig& rig) {
-    play(rig, 120, {1}, Outcome::server_error);
+RequestId start_trial(Rig& rig) {
+    run_requests(rig, 120, {1}, Outcome::server_error);
     EXPECT_EQ(rig.removals(), 1);
     rig.pass(10001);
     RequestId id = 0;
@@ -118,9 +120,9 @@
     return id;
 }
 
-TEST(Trial, OneRequestAtATimeAndSuccessRestores) {
+TEST(HalfOpenTrial, OneRequestIsSentAndItsSuccessRestoresTheEndpoint) {
     Rig rig = pool(4);
-    const RequestId id = trial(rig);
+    const RequestId id = start_trial(rig);
     for (int i = 0; i < 50; ++i) {
         const RequestId other = rig.request();
         EXPECT_NE(rig.where(other), 1U) << "one trial is enough";
@@ -128,12 +130,12 @@
     }
     rig.end(id, Outcome::success, 1);
     EXPECT_EQ(rig.logs.back(), "restored after a trial");
-    EXPECT_GT(play(rig, 100, {1}, Outcome::success), 0);
+    EXPECT_GT(run_requests(rig, 100, {1}, Outcome::success), 0);
 }
 
-TEST(Trial, SuccessGivesAFreshWindow) {
+TEST(HalfOpenTrial, SuccessStartsAnEmptyWindow) {
     Rig rig = pool(4);
-    rig.end(trial(rig), Outcome::success, 1);
+    rig.end(start_trial(rig), Outcome::success, 1);
     int left = 2;
     while (left > 0) {
         const RequestId id = rig.request();
@@ -144,26 +146,26 @@
     EXPECT_EQ(rig.removals(), 1) << "two failures of twenty are borne: the old ones are forgotten";
 }
 
-TEST(Trial, FailureStartsAnotherBackoff) {
+TEST(HalfOpenTrial, FailureStartsAnotherBackoff) {
     Rig rig = pool(4);
-    rig.end(trial(rig), Outcome::server_error, 1);
-    EXPECT_EQ(play(rig, 100, {1}, Outcome::server_error), 0);
+    rig.end(start_trial(rig), Outcome::server_error, 1);
+    EXPECT_EQ(run_requests(rig, 100, {1}, Outcome::server_error), 0);
     rig.pass(10001);
-    EXPECT_GT(play(rig, 100, {1}, Outcome::server_error), 0);
+    EXPECT_GT(run_requests(rig, 100, {1}, Outcome::server_error), 0);
 }
 
-TEST(Trial, AnUndecidedOneIsTakenAgain) {
+TEST(HalfOpenTrial, ACancelledTrialIsRepeated) {
     Rig rig = pool(4);
-    const RequestId id = trial(rig);
+    const RequestId id = start_trial(rig);
     rig.requests.at(id).gone = true;
     rig.give(ClientDisconnected{id});
     rig.end(id, Outcome::cancelled, 1);
-    EXPECT_GT(play(rig, 200, {1}, Outcome::success), 0) << "still due";
+    EXPECT_GT(run_requests(rig, 200, {1}, Outcome::success), 0) << "still due";
 }
 
-// ---- Pick -----------------------------------------------------------------------------------------------
+// ---- Endpoint selection ----------------------------------------------------------------------------------
 
-TEST(Pick, OfTwoTheOneWithFewerOutstandingWins) {
+TEST(EndpointSelection, OfTwoTheOneWithFewerInFlightIsSelected) {
     Rig rig = pool(2);
     const RequestId first = rig.request();
     for (int i = 0; i < 20; ++i) {
@@ -173,7 +175,7 @@
     }
 }
 
-TEST(Pick, OnlyTwoAreLookedAt) {
+TEST(EndpointSelection, TheChoiceIsBetweenTwoRandomEndpoints) {
     Rig rig = pool(10);
     std::vector<RequestId> busy;
     busy.reserve(200);
@@ -187,7 +189,7 @@
     EXPECT_LT(most - least, 8) << "one at random would leave more";
 }
 
-TEST(Pick, ARetryGoesToAServerNotYetTried) {
+TEST(EndpointSelection, ARetryGoesToAnEndpointNotYetTried) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         Rig rig = pool(3, seed, Idempotency::idempotent);
         const RequestId id = rig.request();
@@ -200,9 +202,9 @@
 
 // ---- Slow start -----------------------------------------------------------------------------------------
 
-TEST(SlowStart, AColdServerGetsItsShareAndAWarmOneItsOwn) {
+TEST(SlowStart, ANewEndpointGetsAPartialShareAndLaterTheFullOne) {
     Rig rig = pool(4);
-    play(rig, 1000, {}, Outcome::success);
+    run_requests(rig, 1000, {}, Outcome::success);
     rig.list(EndpointUpdateKind::incremental, {{9, 0, 0, EndpointState::serving, rig.now}});
     std::map<EndpointId, int> load;
     for (int i = 0; i < 400; ++i) {
@@ -224,7 +226,7 @@
 
 // ---- Retry budget, admission, list ----------------------------------------------------------------------
 
-TEST(RetryBudget, AFailingPoolIsNotAskedAsOftenAsTheLimitsAllow) {
+TEST(RetryBudget, RetriesToAFailingPoolStayWithinTheBudget) {
     Rig rig = pool(6, 1, Idempotency::idempotent);
     std::size_t sends = 0;
     const int requests = 500;
@@ -237,16 +239,16 @@
     EXPECT_LT(sends, requests * 1.3);
 }
 
-TEST(Admission, SlowAnswersBoundWhatIsOut) {
+TEST(AdmissionControl, SlowResponsesBoundTheRequestsInFlight) {
     Rig rig = pool(4);
-    for (int i = 0; i < 60; ++i) rig.serve(rig.burst(40, 5000), 600);  // half as slow again as the aim
+    for (int i = 0; i < 60; ++i) rig.serve(rig.burst(40, 5000), 600);  // half as slow again as the objective
     const auto ids = rig.burst(200, 5000);
     EXPECT_LT(rig.still_out(ids), 100);
     EXPECT_GE(rig.still_out(ids), 1) << "never shut";
 }
 
-// A refusal says when to come back: soon after a crowd, after the backoff where nobody is live.
-TEST(Admission, ARefusalSaysWhenToComeBack) {
+// A rejection says when to retry: soon after an overload, after the backoff where no endpoint is available.
+TEST(AdmissionControl, ARejectionSaysWhenToRetry) {
     Rig crowd = pool(4);
     for (int i = 0; i < 60; ++i) crowd.serve(crowd.burst(40, 5000), 600);
     crowd.advice.clear();
@@ -264,13 +266,13 @@
     EXPECT_EQ(empty.advice, std::vector<Millis>{10000});
 }
 
-TEST(Admission, FastAnswersBoundNothing) {
+TEST(AdmissionControl, FastResponsesBoundNothing) {
     Rig rig = pool(4);
     for (int i = 0; i < 60; ++i) rig.serve(rig.burst(40, 5000), 20);
     EXPECT_EQ(rig.still_out(rig.burst(200, 5000)), 200);
 }
 
-TEST(List, ItIsSubscribedToAtTheStartWhereItMustBeAsked) {
+TEST(EndpointDiscovery, PolledDiscoveryIsSubscribedToAtTheStart) {
     for (const bool asked : {false, true}) {
         Settings s = make_settings();
         s.polled_discovery = asked;
@@ -280,7 +282,7 @@
     }
 }
 
-TEST(List, FailedCallsAreRepeatedLaterEachTimeAndNotInStep) {
+TEST(EndpointDiscovery, FailedCallsAreRepeatedWithBackoffAndJitter) {
     std::set<Millis> waits;
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         Settings s = make_settings();
@@ -306,13 +308,13 @@
     EXPECT_EQ(waits.size(), 5U) << "different seeds, different waits";
 }
 
-TEST(List, AFailedCallKeepsTheListInForce) {
+TEST(EndpointDiscovery, AFailedCallKeepsTheCurrentList) {
     Rig rig = pool(2);
     rig.list(EndpointUpdateKind::failed, {});
     EXPECT_TRUE(rig.out(rig.request()));
 }
 
-TEST(List, HeldRequestsGoOutWhenAServerAppears) {
+TEST(EndpointDiscovery, QueuedRequestsAreSentWhenAnEndpointAppears) {
     Rig rig(make_settings());
     rig.list(EndpointUpdateKind::cached, {});
     const RequestId id = rig.request();
@@ -324,8 +326,8 @@
 
 // ---- Bad input ------------------------------------------------------------------------------------------
 
-TEST(Settings, NonsenseIsNamed) {
-    const auto complaint = [](auto change) -> std::string {
+TEST(SettingsValidation, TheInvalidFieldIsNamed) {
+    const auto validation_error = [](auto change) -> std::string {
         Settings s = make_settings();
         change(s);
         try {
@@ -335,50 +337,50 @@
         }
         return "accepted";
     };
-    const auto names = [&](auto change, const std::string& name) {
-        EXPECT_NE(complaint(change).find(name), std::string::npos) << complaint(change);
+    const auto expect_named = [&](auto change, const std::string& name) {
+        EXPECT_NE(validation_error(change).find(name), std::string::npos) << validation_error(change);
     };
-    names([](Settings& s) { s.classes.clear(); }, "classes");
-    names([](Settings& s) { s.classes[0].latency_objective = 0; }, "classes[0].latency_objective");
-    names([](Settings& s) { s.classes[0].latency_objective = NAN; }, "classes[0].latency_objective");
-    names([](Settings& s) { s.classes[0].priority_weight = -1; }, "classes[0].priority_weight");
-    names([](Settings& s) { s.classes[0].dedup_window = -1; }, "classes[0].dedup_window");
-    names([](Settings& s) { s.classes[0].objective_per_effort = INFINITY; },
-          "classes[0].objective_per_effort");
-    names([](Settings& s) { s.sidecar_count = 0; }, "sidecar_count");
-    names([](Settings& s) { s.max_attempts = 0; }, "max_attempts");
-    names([](Settings& s) { s.poll_interval = -1; }, "poll_interval");
-    names([](Settings& s) { s.slow_start_duration = -1; }, "slow_start_duration");
-    names([](Settings& s) { s.slow_start_overload_factor = 0.5; }, "slow_start_overload_factor");
-    names([](Settings& s) { s.slow_start_least_share = 1.5; }, "slow_start_least_share");
-    names([](Settings& s) { s.fees.cross_zone = -0.1; }, "fees.cross_zone");
-    names([](Settings& s) { s.fees.probe = -0.1; }, "fees.probe");
-    EXPECT_EQ(complaint([](Settings&) {}), "accepted");
+    expect_named([](Settings& s) { s.classes.clear(); }, "classes");
+    expect_named([](Settings& s) { s.classes[0].latency_objective = 0; }, "classes[0].latency_objective");
+    expect_named([](Settings& s) { s.classes[0].latency_objective = NAN; }, "classes[0].latency_objective");
+    expect_named([](Settings& s) { s.classes[0].priority_weight = -1; }, "classes[0].priority_weight");
+    expect_named([](Settings& s) { s.classes[0].dedup_window = -1; }, "classes[0].dedup_window");
+    expect_named([](Settings& s) { s.classes[0].objective_per_effort = INFINITY; },
+                 "classes[0].objective_per_effort");
+    expect_named([](Settings& s) { s.sidecar_count = 0; }, "sidecar_count");
+    expect_named([](Settings& s) { s.max_attempts = 0; }, "max_attempts");
+    expect_named([](Settings& s) { s.poll_interval = -1; }, "poll_interval");
+    expect_named([](Settings& s) { s.slow_start_duration = -1; }, "slow_start_duration");
+    expect_named([](Settings& s) { s.slow_start_overload_factor = 0.5; }, "slow_start_overload_factor");
+    expect_named([](Settings& s) { s.slow_start_least_share = 1.5; }, "slow_start_least_share");
+    expect_named([](Settings& s) { s.fees.cross_zone = -0.1; }, "fees.cross_zone");
+    expect_named([](Settings& s) { s.fees.probe = -0.1; }, "fees.probe");
+    EXPECT_EQ(validation_error([](Settings&) {}), "accepted");
 }
 
-TEST(Events, AboutUnknownOrFinishedThingsDoNothing) {
+TEST(EventHandling, EventsAboutUnknownOrEndedSubjectsAreIgnored) {
     Rig rig = pool(2);
     const RequestId id = rig.request();
     rig.end(id, Outcome::success, 10);
-    const auto nothing = [&](const Event& event) {
+    const auto expect_no_actions = [&](const Event& event) {
         std::vector<Action> actions;
         rig.balancer.handle(rig.now, event, actions);
         EXPECT_TRUE(actions.empty());
     };
-    nothing(AttemptEnded{id, 0, Outcome::server_error, 5, true});
-    nothing(AttemptEnded{999, 0, Outcome::server_error, 5, false});
-    nothing(ClientDisconnected{id});
-    nothing(ClientDisconnected{999});
-    nothing(ResponseStarted{999, 0});
-    nothing(TimerFired{12345});
-    nothing(ProbeEnded{77, Outcome::success, 1});
-    nothing(GossipReceived{3, {1, 2, 3}});
+    expect_no_actions(AttemptEnded{id, 0, Outcome::server_error, 5, true});
+    expect_no_actions(AttemptEnded{999, 0, Outcome::server_error, 5, false});
+    expect_no_actions(ClientDisconnected{id});
+    expect_no_actions(ClientDisconnected{999});
+    expect_no_actions(ResponseStarted{999, 0});
+    expect_no_actions(TimerFired{12345});
+    expect_no_actions(ProbeEnded{77, Outcome::success, 1});
+    expect_no_actions(GossipReceived{3, {1, 2, 3}});
     const RequestId open = rig.request();
-    nothing(AttemptEnded{open, 7, Outcome::server_error, 5, false});
+    expect_no_actions(AttemptEnded{open, 7, Outcome::server_error, 5, false});
     rig.end(open, Outcome::success, 10);
 }
 
-TEST(Events, AClockThatStepsBackIsHeld) {
+TEST(EventHandling, AClockStepBackDoesNotMoveTimers) {
     Rig rig = pool(2);
     const RequestId id = rig.request(0, 1000);
     std::vector<Action> actions;
--- a/tests/balancer/fleet_test.cpp
+++ b/tests/balancer/fleet_test.cpp
@@ -7,9 +7,9 @@
 namespace ochregrade::test {
 namespace {
 
-// Many light sidecars, each with the same warm servers and one that has just started; each has a few
-// requests, answered at once. Returns what share of a warm server's sends the cold one got.
-double cold_part(std::uint32_t sidecars, int requests_each, EndpointId warm, Millis age) {
+// Many sidecars with low traffic, each with the same warm servers and one that has just started; each has a
+// few requests, answered at once. Returns what share of a warm server's sends the cold one got.
+double new_endpoint_share(std::uint32_t sidecars, int requests_each, EndpointId warm, Millis age) {
     double cold = 0, others = 0;
     for (std::uint32_t n = 0; n < sidecars; ++n) {
         Settings s = make_settings({make_class(Idempotency::not_idempotent)});
@@ -27,17 +27,17 @@
     return cold / (others / warm);
 }
 
-TEST(Fleet, ColdFeedIsAShareOfAWarmServersFromOneSidecarToAThousand) {
+TEST(SlowStart, TheShareHoldsFromOneSidecarToAThousand) {
     // 0.2 of its capacity at first, and no more than twice that from winning ties.
     for (const auto& [sidecars, each] : {std::pair{1u, 4000}, {30u, 150}, {1000u, 4}}) {
-        const double part = cold_part(sidecars, each, 40, 0);
+        const double part = new_endpoint_share(sidecars, each, 40, 0);
         EXPECT_GT(part, 0.1) << sidecars;
         EXPECT_LT(part, 0.6) << sidecars;
     }
 }
 
-TEST(Fleet, AColdServerIsNoWayRoundAFullRoom) {
-    // Slow answers have shut the room: what finds none must not go to the one cold server instead.
+TEST(SlowStart, ANewEndpointDoesNotBypassTheConcurrencyLimit) {
+    // Slow answers have lowered the limit: what is over it must not go to the one cold server instead.
     Rig rig(make_settings({make_class(Idempotency::not_idempotent)}));
     rig.list(EndpointUpdateKind::full, make_servers(4));
     for (int i = 0; i < 60; ++i) rig.serve(rig.burst(40, 5000), 600);
@@ -49,7 +49,7 @@
     EXPECT_LT(cold, rig.still_out(ids) / 2);
 }
 
-TEST(Fleet, LightSidecarsDrawServersByTheirRegisteredSize) {
+TEST(EndpointSelection, LowTrafficSidecarsFollowTheCapacityWeight) {
     // Every queue of their own is empty, so nothing but the draw can spare the small servers.
     std::map<EndpointId, double> load;
     for (std::uint64_t n = 1; n <= 1000; ++n) {
@@ -68,7 +68,7 @@
     EXPECT_NEAR((load[true] / 6) / (load[false] / 14), 3, 0.5);
 }
 
-TEST(Fleet, UnitsThatMakeNoSenseCountAsOne) {
+TEST(EndpointSelection, AnInvalidCapacityWeightCountsAsOne) {
     Rig rig(make_settings({make_class(Idempotency::not_idempotent)}));
     auto servers = make_servers(3);
     servers[0].capacity_weight = 0, servers[1].capacity_weight = -2,
@@ -84,27 +84,27 @@
 }
 
 // Whether the connection to the server is closed after an answer, with `servers` of them and a request every
-// `gap`.
-bool closes(EndpointId servers, Millis gap) {
+// `interarrival`.
+bool closes_idle_connections(EndpointId servers, Millis interarrival) {
     Rig rig(make_settings({make_class(Idempotency::not_idempotent)}));
     rig.list(EndpointUpdateKind::full, make_servers(servers));
     int closed = 0;
     for (int i = 0; i < 60; ++i) {
-        rig.pass(gap);
+        rig.pass(interarrival);
         rig.end(rig.request(), Outcome::success, 0);
         closed = rig.count<CloseIdleConnections>();
     }
     return closed > 0;
 }
 
-TEST(Fleet, LightSidecarsDoNotFillConnectionTablesAndBusyOnesKeepTheirs) {
-    EXPECT_TRUE(closes(50, 500));
-    EXPECT_FALSE(closes(50, 20));
-    EXPECT_FALSE(closes(5, 500));
+TEST(IdleConnections, OnlyLowTrafficWithManyEndpointsClosesThem) {
+    EXPECT_TRUE(closes_idle_connections(50, 500));
+    EXPECT_FALSE(closes_idle_connections(50, 20));
+    EXPECT_FALSE(closes_idle_connections(5, 500));
 }
 
 // How many of a burst go out just after the list has dropped to `left` of twenty servers.
-int let_out_after_drop(EndpointId left) {
+int admitted_after_list_drop(EndpointId left) {
     Settings s = make_settings({make_class(Idempotency::not_idempotent)});
     s.sidecar_count = 100;
     Rig rig(s);
@@ -118,14 +118,14 @@
     return rig.still_out(rig.burst(40, 60000));
 }
 
-TEST(Fleet, TheRoomShrinksWithThePoolBeforeAnyAnswerIsSlow) {
-    EXPECT_EQ(let_out_after_drop(20), 40);
-    EXPECT_LE(let_out_after_drop(10), 4) << "four were out at twenty servers";
+TEST(AdmissionControl, TheLimitShrinksWithTheEndpointList) {
+    EXPECT_EQ(admitted_after_list_drop(20), 40);
+    EXPECT_LE(admitted_after_list_drop(10), 4) << "four were out at twenty servers";
 }
 
 // How many of a burst go out after this many of twenty servers have refused connections for 2 s, the list
 // saying nothing; and, if they come up again, after a while more.
-int let_out_after_refusals(EndpointId refusing, bool back) {
+int admitted_after_connect_failures(EndpointId refusing, bool back) {
     Settings s = make_settings({make_class(Idempotency::not_idempotent)});
     s.sidecar_count = 100;
     Rig rig(s);
@@ -143,15 +143,15 @@
     return rig.still_out(rig.burst(40, 60000));
 }
 
-// A server whose connections do not come up leaves its load to the others seconds before the list tells.
-TEST(Fleet, TheRoomShrinksWithServersThatRefuseConnections) {
-    EXPECT_EQ(let_out_after_refusals(0, false), 40);
-    EXPECT_LE(let_out_after_refusals(6, false), 1) << "three were out at twelve servers";
-    EXPECT_GE(let_out_after_refusals(6, true), 4)
+// A server whose connections do not come up leaves its load to the others seconds before the list shows it.
+TEST(AdmissionControl, TheLimitShrinksWithEndpointsThatRefuseConnections) {
+    EXPECT_EQ(admitted_after_connect_failures(0, false), 40);
+    EXPECT_LE(admitted_after_connect_failures(6, false), 1) << "three were out at twelve servers";
+    EXPECT_GE(admitted_after_connect_failures(6, true), 4)
         << "and grows again, to twice what is used, when they are back";
 }
 
-TEST(Fleet, LightSidecarsShedByLotWhenThePoolIsFull) {
+TEST(AdmissionControl, LowTrafficSidecarsShedAtRandomWhenThePoolIsOverloaded) {
     int sent = 0, asked = 0;
     for (std::uint64_t n = 1; n <= 200; ++n) {
         Settings s = make_settings({make_class(Idempotency::not_idempotent)});
--- a/tests/balancer/request_table_test.cpp
+++ b/tests/balancer/request_table_test.cpp
@@ -43,7 +43,7 @@
     EXPECT_TRUE(table.is_queue_empty());
 }
 
-TEST(Timers, EachFiresOnceForItsPurpose) {
+TEST(TimerTable, EachTimerFiresOnceForItsPurpose) {
     ModuleFixture fixture;
     Timers timers(fixture.context);
     timers.set(200000, {TimerPurpose::request, 7});
