--- a/bench/guarantee_rows.py
+++ b/bench/guarantee_rows.py
@@ -53,6 +53,7 @@
 MAIN = "src/main.cpp"
 
 PROXY_TESTS = "ochregrade_proxy_tests"
+DISCOVERY_TESTS = "ochregrade_discovery_tests"
 PROGRAM_TESTS = "ochregrade_program_tests"
 PROCESS_TESTS = "ochregrade_process_tests"
 CRASH_TESTS = "ochregrade_crash_tests"
@@ -480,13 +481,13 @@
     Guarantee(
         "a move of discovery ends a retry pause",
         [Edit(DISCOVERY, "    active_ = true;  // a pause", "    // a pause")],
-        PROXY_TESTS,
+        DISCOVERY_TESTS,
         "List.DiscoveryThatMovesDuringAPauseIsAskedAtOnce",
     ),
     Guarantee(
         "a silent watch is closed",
         [Edit(DISCOVERY, "constexpr double kMaxWaitMs = 2000;", "constexpr double kMaxWaitMs = 20000;")],
-        PROXY_TESTS,
+        DISCOVERY_TESTS,
         "Watch.ThatFellSilentIsOpenedAnewWhileTheListMayStillBeOld",
     ),
     Guarantee(
@@ -668,7 +669,7 @@
     Guarantee(
         "only changes are requested after a failed call",
         [Edit(DISCOVERY, "start_call(complete_list_needed_ || fetch_requested_);", "start_call(true);")],
-        PROXY_TESTS,
+        DISCOVERY_TESTS,
         "Watch.AfterACallThatFailedItAsksForChangesOnly",
     ),
     Guarantee(
@@ -680,13 +681,13 @@
                 "sequence_restarted(*list);",
             )
         ],
-        PROXY_TESTS,
+        DISCOVERY_TESTS,
         "Watch.SurvivesGarbageOldListsAndDowntime",
     ),
     Guarantee(
         "a move of discovery takes effect at once",
         [Edit(DISCOVERY, "    cancel_call();\n    seq_ = 0;", "    connection_.reset();\n    seq_ = 0;")],
-        PROXY_TESTS,
+        DISCOVERY_TESTS,
         "Watch.MovesWithTheConfigurationAtOnce",
     ),
     Guarantee(
@@ -731,7 +732,7 @@
                 "    if (ec == beast::error::timeout)\n        call_failed(call",
             )
         ],
-        PROXY_TESTS,
+        DISCOVERY_TESTS,
         "List.ACallGivenUpForItsTimeIsRepeatedWithoutBeingToldAsFailed",
     ),
     Guarantee(
