--- a/bench/guarantee_rows.py
+++ b/bench/guarantee_rows.py
@@ -676,7 +676,7 @@
         [
             Edit(
                 DISCOVERY,
-                'if (list->seq < seq_ && !sequence_restarted(*list)) return response_invalid(call, "an older list");',
+                'if (list->seq < seq_ && !sequence_restarted(*list)) return response_invalid(call, "outdated list");',
                 "sequence_restarted(*list);",
             )
         ],
--- a/src/control/config_file.cpp
+++ b/src/control/config_file.cpp
@@ -100,8 +100,8 @@
     static bool warned = false;
     if (warned || !json::parse(text, nullptr, false).contains(kFormerSection)) return;
     warned = true;
-    log_line(std::string("the configuration's section ") + kFormerSection + " is now called " + kOwnSection +
-             "; the former name is read for one release more");
+    log_line(std::string("configuration section ") + kFormerSection + " is deprecated: rename it to " +
+             kOwnSection + "; the next version does not read it");
 }
 
 json file_document() {
@@ -164,7 +164,7 @@
 void log_unknown_fields(const json& document) {
     std::string names;
     for (const std::string& field : unknown_fields(document, kMaxLoggedFields)) names += " " + field;
-    if (!names.empty()) log_line("not known in the configuration, and not heeded:" + names);
+    if (!names.empty()) log_line("unknown configuration fields ignored:" + names);
 }
 
 }  // namespace ochregrade::sidecar
--- a/src/control/operator_endpoint.cpp
+++ b/src/control/operator_endpoint.cpp
@@ -35,7 +35,7 @@
             return accept();
         }
         // Out of descriptors or memory: accepting at once again would spin.
-        log_line("the operators' endpoint: accept: " + ec.message());
+        log_line("operator endpoint: accept failed: " + ec.message());
         retry_.expires_after(kAcceptRetry);
         retry_.async_wait([this](error_code cancelled) {
             if (!cancelled) accept();
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -65,7 +65,7 @@
 
 void DiscoveryClient::set_address(const tcp::endpoint& address) {
     if (address == address_) return;
-    log_line("discovery moves");
+    log_line("discovery address changed: requesting the list from the new address");
     address_ = address;
     cancel_call();
     seq_ = 0;  // the new discovery has its own sequence
@@ -153,7 +153,7 @@
     try {
         return parse_endpoint_list(nlohmann::json::parse(response.body()));
     } catch (const std::exception& error) {
-        response_invalid(call, std::string("an answer that can't be read: ") + error.what());
+        response_invalid(call, std::string("invalid response: ") + error.what());
         return {};
     }
 }
@@ -162,8 +162,8 @@
     const auto list = parse_response(call);
     if (!list) return;
     if (call->complete && !list->complete)
-        return response_invalid(call, "changes where the whole list was asked for");
-    if (list->seq < seq_ && !sequence_restarted(*list)) return response_invalid(call, "an older list");
+        return response_invalid(call, "response has changes only, the complete list was requested");
+    if (list->seq < seq_ && !sequence_restarted(*list)) return response_invalid(call, "outdated list");
     accept_list(call, *list);
 }
 
@@ -198,7 +198,8 @@
     lower_seq_ = list.seq;
     if (!claimed_by_others(list) && !lasting) return false;
     ++incarnation_;
-    log_line("discovery counts anew: list " + std::to_string(list.seq) + " after " + std::to_string(seq_));
+    log_line("discovery restarted its sequence: list " + std::to_string(list.seq) + " after " +
+             std::to_string(seq_));
     return true;
 }
 
--- a/src/fleet/replication_driver.cpp
+++ b/src/fleet/replication_driver.cpp
@@ -121,8 +121,8 @@
     follower.requested(now);
     request(claimed);
     if (follower.unfounded() != unfounded_before)
-        log_line(std::string("others claim to act on ") + subject + " " + std::to_string(claimed.major) +
-                 "." + std::to_string(claimed.minor) + ", which is not to be had");
+        log_line(std::string("peers report ") + subject + " " + std::to_string(claimed.major) + "." +
+                 std::to_string(claimed.minor) + " in use, but it could not be obtained");
 }
 
 // ---- Event loop ------------------------------------------------------------------------------------------
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -58,7 +58,7 @@
         try {
             io.run();
         } catch (const std::exception& error) {
-            log_line(std::string("a handler failed: ") + error.what());
+            log_line(std::string("event handler failed: ") + error.what());
         }
     }
 }
--- a/src/process/config_manager.cpp
+++ b/src/process/config_manager.cpp
@@ -104,7 +104,8 @@
 
 ConfigChange ConfigManager::stage(const Config& config, bool dry_run) {
     if (!dry_run && parts_.replication.settle_epoch(config.epoch))
-        log_line("epoch " + std::to_string(config.epoch) + " is for another part of the fleet");
+        log_line("epoch " + std::to_string(config.epoch) +
+                 " is not applied: its rollout share excludes this sidecar");
     return ended(Result::staged);
 }
 
--- a/src/process/config_reloader.cpp
+++ b/src/process/config_reloader.cpp
@@ -40,7 +40,7 @@
     }
     if (change.result != ConfigChange::Result::rejected) return;
     for (const ValidationError& error : change.errors)
-        log_line("the old configuration stays in force: " + error.field + " " + error.what);
+        log_line("configuration rejected, the current one stays in force: " + error.field + " " + error.what);
 }
 
 void ConfigReloader::retry(int attempts_left) {
--- a/src/proxy/listener.cpp
+++ b/src/proxy/listener.cpp
@@ -76,7 +76,7 @@
 
 // The connection stays in the kernel; accepting again at once would spin.
 void Listener::pause_accepting(error_code shortage) {
-    log_line("accept: " + shortage.message());
+    log_line("accept failed: " + shortage.message());
     accept_delay_.blocked(context_.clock.now());
     paused_ = true;
     accept_retry_timer_.expires_after(kAcceptRetryInterval);
--- a/src/recovery/start_plan.cpp
+++ b/src/recovery/start_plan.cpp
@@ -56,9 +56,9 @@
         log_line(recovered.canary_interrupted
                      ? "state: a canary was under way when the last run ended: the last known good "
                        "configuration is in force"
-                     : "state: the configuration last accepted is in force");
+                     : "state: the last accepted configuration is in force");
     } catch (const std::exception& error) {
-        log_line(std::string("state: the configuration last accepted is not used: ") + error.what());
+        log_line(std::string("state: the last accepted configuration is not used: ") + error.what());
     }
 }
 
@@ -131,7 +131,7 @@
         if (!recovered.last_known_good) throw ConfigError(*file.error);
         override_from_environment(*recovered.last_known_good);
         log_line(file.error->what());
-        log_line("state: the file is refused and the last known good configuration steps in");
+        log_line("state: the file is rejected; the last known good configuration is in force instead");
     }
     Start start = decide_start(file.document, recovered);
     start.state_store = std::move(store);
--- a/src/recovery/state_records.cpp
+++ b/src/recovery/state_records.cpp
@@ -38,7 +38,7 @@
 NamedEndpointSnapshot parse_snapshot(const json& stored) {
     const auto finite = [&](const char* field) {
         const double value = stored.at(field).get<double>();
-        if (!std::isfinite(value)) throw std::runtime_error("a figure makes no sense");
+        if (!std::isfinite(value)) throw std::runtime_error("a number is not finite");
         return value;
     };
     NamedEndpointSnapshot snapshot;
@@ -108,7 +108,7 @@
     record.written_at = {stored.at("wall_ms").get<double>(), stored.at("up_ms").get<double>(),
                          stored.at("boot").get<std::string>()};
     record.list = parse_endpoint_list(stored.at("list"));
-    if (!record.list.complete) throw std::runtime_error("its list is not whole");
+    if (!record.list.complete) throw std::runtime_error("its endpoint list is not complete");
     record.discovery = stored.at("discovery").get<std::string>();
     for (const json& snapshot : stored.at("learnt")) record.snapshots.push_back(parse_snapshot(snapshot));
     return record;
@@ -135,7 +135,7 @@
     const json stored = json::parse(payload, nullptr, false);
     const bool valid =
         stored.is_object() && stored.contains("starts") && stored["starts"].is_number_unsigned();
-    if (!valid) throw std::runtime_error("no number");
+    if (!valid) throw std::runtime_error("its number of starts is invalid");
     return stored.at("starts").get<int>();
 }
 
--- a/src/recovery/state_store.cpp
+++ b/src/recovery/state_store.cpp
@@ -85,9 +85,9 @@
     }
     state.crash_loop = starts >= kMaxShortRuns;
     if (state.crash_loop) {
-        log_line("state: started without it: the last " + std::to_string(starts) + " lives were short");
+        log_line("state: not used: the last " + std::to_string(starts) + " runs ended early");
         for (const char* kind : {kConfigKind, kEndpointsKind})
-            store_->quarantine_all(kind, "lives that used it were short");
+            store_->quarantine_all(kind, "runs that used it ended early");
     }
     return true;
 }
--- a/src/storage/record_store.cpp
+++ b/src/storage/record_store.cpp
@@ -66,7 +66,7 @@
     std::uint32_t version = 0, kind_length = 0, sum = 0;
     if (bytes.empty()) return damaged("it is empty");
     if (bytes.size() < kMagic.size() + 4 || bytes.substr(0, kMagic.size()) != kMagic)
-        return damaged("it does not begin as a record does");
+        return damaged("its header is not that of a record");
     // The checksum first: nothing in a damaged record can be trusted, not even its version.
     std::string_view end = bytes.substr(bytes.size() - 4);
     const std::string_view all = bytes.substr(0, bytes.size() - 4);
@@ -80,7 +80,7 @@
     if (!take(in, kind_length) || !take(in, kind_length, decoded.record.kind) ||
         !take(in, decoded.record.sequence) || !take(in, length) ||
         !take(in, length, decoded.record.payload) || !in.empty())
-        return damaged("its lengths do not fit");
+        return damaged("its length fields do not match its size");
     return decoded;
 }
 
@@ -135,13 +135,13 @@
         }
         Decoded decoded = decode(bytes);
         if (decoded.error == DecodeError::newer_version) {
-            log_(name + " is left alone: it is of a newer " + decoded.reason);
+            log_(name + " is not read and left unchanged: its format is newer, " + decoded.reason);
             continue;
         }
         const std::uint64_t sequence = parse(name)->sequence;
         const bool intact = decoded.error == DecodeError::none;
         if (intact && (decoded.record.kind != kind || decoded.record.sequence != sequence))
-            decoded.reason = "it is not what its name says";
+            decoded.reason = "its kind or number differs from its file name";
         else if (intact && !newest)  // older ones are not validated: they were valid for an older program
             decoded.reason = validate(decoded.record);
         if (!decoded.reason.empty()) {
@@ -155,9 +155,9 @@
 }
 
 void RecordStore::quarantine(const std::string& name, const std::string& reason) {
-    log_(name + " is not used and set aside: " + reason);
+    log_(name + " is quarantined: " + reason);
     if (const std::error_code error = directory_.rename(name, std::string(kQuarantinePrefix) + name)) {
-        log_(name + " can't be set aside: " + error.message());
+        log_(name + " can't be quarantined: " + error.message());
         return;
     }
     limit_quarantine();
@@ -176,7 +176,8 @@
         return sequence_part(a) < sequence_part(b);
     });
     for (std::size_t i = 0; i + kMaxQuarantined < names.size(); ++i) {
-        log_(names[i] + " is deleted: more than " + std::to_string(kMaxQuarantined) + " files are set aside");
+        log_(names[i] + " is deleted: more than " + std::to_string(kMaxQuarantined) +
+             " files are quarantined");
         directory_.remove(names[i]);
     }
 }
--- a/tests/recovery/crash_test.cpp
+++ b/tests/recovery/crash_test.cpp
@@ -174,9 +174,9 @@
     f.config["ochregrade"]["state"]["lived_ms"] = 3600000;
     f.place.write(f.config.dump());
     for (int life = 0; life < StateStore::kMaxShortRuns + 2; ++life) EXPECT_EQ(f.start()->end(SIGTERM), 0);
-    EXPECT_EQ(f.place.log().find("lives were short"), std::string::npos) << f.place.log();
+    EXPECT_EQ(f.place.log().find("runs ended early"), std::string::npos) << f.place.log();
     for (int life = 0; life < StateStore::kMaxShortRuns + 1; ++life) f.start()->end(SIGKILL);
-    EXPECT_NE(f.place.log().find("lives were short"), std::string::npos) << "but kills are";
+    EXPECT_NE(f.place.log().find("runs ended early"), std::string::npos) << "but kills are";
 }
 
 TEST(BadFile, EndsTheStartWithTwoUnlessALastKnownGoodMayReplaceIt) {
@@ -189,7 +189,9 @@
     EXPECT_EQ(Process(f.place, {where}).end(0), 2);
     EXPECT_NE(f.place.log().find("NODE_CONFIG is not JSON"), std::string::npos);
     process = f.start({where, "OCHREGRADE_LAST_KNOWN_GOOD=1"});
-    EXPECT_NE(f.place.log().find("last known good configuration steps in"), std::string::npos);
+    EXPECT_NE(
+        f.place.log().find("the file is rejected; the last known good configuration is in force instead"),
+        std::string::npos);
     EXPECT_EQ(Operator(f.admin).get("/v1/config").at("source"), "recovery");
     EXPECT_EQ(try_asking(f.listen, App::request("listen")), 200u);
     EXPECT_EQ(process->end(SIGTERM), 0);
--- a/tests/smoke.sh
+++ b/tests/smoke.sh
@@ -69,13 +69,13 @@
 
 sed -i 's/"discovery":"127.0.0.1:1"/"discovery":"127.0.0.1:2"/' "$config"
 kill -HUP "$pid"
-expect_logged 'discovery moves'
+expect_logged 'discovery address changed: requesting the list from the new address'
 
 # Ten signals in a row with a truncated file: the program continues with the configuration that it had.
 cp "$config" "$folder/good.json"
 head -c 200 "$folder/good.json" >"$config"
 for _ in 1 2 3 4 5 6 7 8 9 10; do kill -HUP "$pid"; done
-expect_logged 'stays in force: NODE_CONFIG is not JSON'
+expect_logged 'configuration rejected, the current one stays in force: NODE_CONFIG is not JSON'
 exec 3<>"/dev/tcp/127.0.0.1/$port"
 expect_healthy
 
