--- a/src/control/metrics.cpp
+++ b/src/control/metrics.cpp
@@ -55,15 +55,16 @@
 }
 
 void write_requests(MetricsWriter& out, const BalancerDriver::Totals& totals) {
-    out.counter("requests_total", totals.arrived, "Requests taken.");
-    out.family("answers_total", "counter", "Final answers by kind; left: the client did not wait.");
+    out.counter("requests_total", totals.arrived, "Requests received completely.");
+    out.family("answers_total", "counter", "Requests ended, by result; left: the client disconnected first.");
     out.sample("answers_total", totals.served, "{result=\"served\"}");
     out.sample("answers_total", totals.rejected, "{result=\"refused\"}");
     out.sample("answers_total", totals.failed, "{result=\"failed\"}");
     out.sample("answers_total", totals.forwarded_errors, "{result=\"passed_on\"}");
     out.sample("answers_total", totals.client_disconnects, "{result=\"left\"}");
-    out.counter("attempts_total", totals.attempts, "Attempts at servers.");
-    out.family("retries_total", "counter", "Attempts after the first, by how the one before ended.");
+    out.counter("attempts_total", totals.attempts, "Attempts sent to servers.");
+    out.family("retries_total", "counter",
+               "Attempts after the first, by outcome of the previous one; in_flight: hedged.");
     out.samples("retries_total", totals.retries, "after", retry_label);
     out.family("refusals_total", "counter", "Requests answered 503, by reason.");
     out.samples("refusals_total", totals.rejections, "reason", label_of<EndReason>);
@@ -81,31 +82,36 @@
 
 void write_rules(MetricsWriter& out, const BalancerDriver& sidecar) {
     const auto& counts = sidecar.rule_guard().counts();
-    out.family("sends_withheld_total", "counter", "Attempts that the rule guard kept from being written.");
+    out.family("sends_withheld_total", "counter",
+               "Attempts that the rule guard did not allow to be written, by reason.");
     out.samples("sends_withheld_total", counts.withheld, "reason", label_of<Withheld>);
     out.family("rule_violations_total", "counter",
-               "Rules broken, or that would have been but for the guard.");
+               "Violations of rules, prevented or not, by rule; any value but 0 is a fault of this program.");
     out.samples("rule_violations_total", counts.violations, "rule", label_of<Violation>);
-    out.counter("probes_total", sidecar.totals().probes, "Probes of servers.");
-    out.counter("peer_messages_total", sidecar.totals().gossip_sent, "Datagrams to other sidecars.");
+    out.counter("probes_total", sidecar.totals().probes, "Load probes sent to servers.");
+    out.counter("peer_messages_total", sidecar.totals().gossip_sent,
+                "Gossip messages sent to other sidecars.");
 }
 
 void write_gauges(MetricsWriter& out, const Node& node) {
     const BalancerDriver::Usage usage = node.usage();
     out.gauge("unanswered", node.sidecar().pending_requests(), "Requests without a final answer.");
-    out.family("connections", "gauge", "Open connections.");
+    out.family("connections", "gauge", "Open connections, by side.");
     out.sample("connections", node.listener().connections(), "{side=\"clients\"}");
     out.sample("connections", usage.connections, "{side=\"servers\"}");
-    out.gauge("servers", usage.endpoints, "Servers known.");
-    out.gauge("servers_removed", usage.ejected, "Servers out of the pool after failures (outlier ejection).");
-    out.gauge("list_seq", node.discovery().seq(), "Number of the list of servers held.");
+    out.gauge("servers", usage.endpoints, "Servers in the endpoint list.");
+    out.gauge("servers_removed", usage.ejected, "Servers ejected after failures (outlier ejection).");
+    out.gauge("list_seq", node.discovery().seq(), "Sequence number of the endpoint list in use.");
 }
 
 void write_config(MetricsWriter& out, const Node& node) {
     const ConfigCounts& counts = node.counts();
-    out.gauge("config_generation", node.versions().current().number(), "Generation in force.");
-    out.gauge("config_on_trial", node.versions().canary() ? 1 : 0, "Whether it is on trial.");
-    out.family("config_changes_total", "counter", "Changes of the configuration by how they ended.");
+    out.gauge("config_generation", node.versions().current().number(),
+              "Generation of the configuration in force.");
+    out.gauge("config_on_trial", node.versions().canary() ? 1 : 0,
+              "1 while a canary of the configuration is under way, else 0.");
+    out.family("config_changes_total", "counter",
+               "Configuration changes, by result; taken_back: rolled back by a failed canary.");
     out.sample("config_changes_total", counts.applied, "{result=\"applied\"}");
     out.sample("config_changes_total", counts.rejected, "{result=\"refused\"}");
     out.sample("config_changes_total", counts.unchanged, "{result=\"unchanged\"}");
@@ -115,30 +121,35 @@
 
 void write_datagrams(MetricsWriter& out, const replication::Replica& replica) {
     const auto& counts = replica.counts();
-    out.gauge("fleet_members_alive", replica.alive(), "Members of the shared state held to run.");
-    out.counter("fleet_datagrams_sent_total", counts.sent, "Datagrams of the shared state sent.");
-    out.counter("fleet_bytes_sent_total", counts.sent_bytes, "Bytes of them.");
-    out.counter("fleet_datagrams_received_total", counts.received, "Datagrams of the shared state received.");
-    out.family("fleet_datagrams_dropped_total", "counter", "Datagrams that could not be read, by cause.");
+    out.gauge("fleet_members_alive", replica.alive(),
+              "Members of the fleet considered alive, by this sidecar's view.");
+    out.counter("fleet_datagrams_sent_total", counts.sent, "Replication datagrams sent.");
+    out.counter("fleet_bytes_sent_total", counts.sent_bytes, "Bytes of the replication datagrams sent.");
+    out.counter("fleet_datagrams_received_total", counts.received, "Replication datagrams received.");
+    out.family("fleet_datagrams_dropped_total", "counter",
+               "Replication datagrams that could not be decoded, by cause.");
     out.samples("fleet_datagrams_dropped_total", counts.decode_errors, "cause",
                 label_of<replication::DecodeError>);
     out.counter("fleet_unknown_members_total", counts.unknown_members,
-                "Items about numbers beyond the tier.");
+                "Replicated items about member indices outside the fleet.");
     out.counter("fleet_far_lives_total", counts.implausible_epochs,
-                "Items of lives too far ahead of the clock.");
-    out.counter("fleet_refuted_total", counts.refuted, "Untrue things said of this sidecar, refuted.");
-    out.counter("fleet_suspected_total", counts.suspected, "Members suspected after a probe of ours.");
-    out.counter("fleet_stalls_total", counts.process_pauses, "Times this process stood still.");
+                "Replicated items whose incarnation is too far ahead of the clock.");
+    out.counter("fleet_refuted_total", counts.refuted, "False reports about this sidecar that it refuted.");
+    out.counter("fleet_suspected_total", counts.suspected,
+                "Members suspected after a failed probe by this sidecar.");
+    out.counter("fleet_stalls_total", counts.process_pauses, "Pauses of this process that were detected.");
 }
 
 void write_replication(MetricsWriter& out, const ReplicationDriver& replication) {
     write_datagrams(out, replication.replica());
     const auto& endpoints = replication.endpoints_follower();
     const auto& settings = replication.settings_follower();
-    out.counter("fleet_list_calls_total", endpoints.calls(), "Lists asked for since others had newer.");
-    out.counter("fleet_settings_reads_total", settings.calls(), "The same for the file.");
+    out.counter("fleet_list_calls_total", endpoints.calls(),
+                "Endpoint lists requested because other members use a newer one.");
+    out.counter("fleet_settings_reads_total", settings.calls(),
+                "Reads of the configuration file because other members use newer settings.");
     out.counter("fleet_unfounded_claims_total", endpoints.unfounded() + settings.unfounded(),
-                "Claims of newer versions that nothing was found of.");
+                "Reported newer versions that could not be obtained.");
 }
 
 void write_state_store(MetricsWriter& out, const StateStore& store) {
@@ -151,9 +162,9 @@
 void write_commit_times(MetricsWriter& out, const ConfigCounts& counts) {
     constexpr Millis kMillisPerSecond = 1000;
     out.gauge("config_commit_seconds_max", counts.longest_commit / kMillisPerSecond,
-              "Longest pause of the loop for a commit.");
+              "Longest pause of the event loop for the commit of a configuration change, in seconds.");
     out.gauge("config_change_seconds_max", counts.longest_change / kMillisPerSecond,
-              "The same with checking and preparing.");
+              "Longest configuration change including validation and preparation, in seconds.");
 }
 
 }  // namespace
