--- a/src/lab/experiment.cpp
+++ b/src/lab/experiment.cpp
@@ -37,7 +37,7 @@
     if (found != choices.end()) return found->second;
     std::string names;
     for (const auto& [name, value] : choices) names += (names.empty() ? "" : ", ") + name;
-    throw ExperimentError(field, "`" + text + "` is none of " + names);
+    throw ExperimentError(field, "`" + text + "` is not one of " + names);
 }
 
 LoadClass read_class(TomlTable& table) {
@@ -45,7 +45,7 @@
     load_class.name.clear();
     table.read("name", load_class.name);
     if (load_class.name.empty() || load_class.name.find_first_of("/?# ") != std::string::npos)
-        throw ExperimentError(table.path_of("name"), "a word is wanted");
+        throw ExperimentError(table.path_of("name"), "must be a name without `/`, `?`, `#` or spaces");
     table.read("once", load_class.not_idempotent);
     table.read("share", load_class.share, 0.001, 1000);
     table.read("worth", load_class.priority_weight, 0, 1e6);
@@ -70,7 +70,7 @@
     table.read("zone", fault.zone);
     table.read("direction", direction);
     if (direction != "both" && direction != "in" && direction != "out")
-        throw ExperimentError(table.path_of("direction"), "`in`, `out` or `both` is wanted");
+        throw ExperimentError(table.path_of("direction"), "must be `in`, `out` or `both`");
     fault.inbound = direction != "out";
     fault.outbound = direction != "in";
     table.read("probability", fault.probability, 0, 1);
--- a/src/lab/fault_executor.cpp
+++ b/src/lab/fault_executor.cpp
@@ -71,7 +71,7 @@
         case FaultKind::settings:
             return change_settings(active);
     }
-    throw std::logic_error("a fault of no known kind");
+    throw std::logic_error("unknown kind of fault");
 }
 
 FaultExecutor::Task FaultExecutor::wait_until_over(const ActiveFault& active) {
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -41,17 +41,18 @@
     run->add_option("experiment", line.experiment_path, "the experiment, a TOML file")
         ->required()
         ->check(CLI::ExistingFile);
-    run->add_option("--program", line.program, "the sidecar to start")->check(CLI::ExistingFile);
-    run->add_option("--out", line.out, "the report's folder (lab-runs/NAME-SEED if not given)");
-    run->add_option("--seed", line.seed, "in place of the file's seed")->check(CLI::NonNegativeNumber);
-    run->add_option("--sidecars", line.sidecars, "in place of fleet.sidecars")->check(CLI::Range(1, 2000));
-    run->add_option("--servers", line.servers, "in place of servers.count")->check(CLI::Range(1, 2000));
-    run->add_option("--seconds", line.seconds, "in place of seconds")->check(CLI::Range(1.0, 3600.0));
-    run->add_flag("--quiet", line.quiet, "events only to the log file, not to standard error");
+    run->add_option("--program", line.program, "path of the sidecar program")->check(CLI::ExistingFile);
+    run->add_option("--out", line.out, "folder for the report (default: lab-runs/NAME-SEED)");
+    run->add_option("--seed", line.seed, "overrides seed of the experiment")->check(CLI::NonNegativeNumber);
+    run->add_option("--sidecars", line.sidecars, "overrides fleet.sidecars")->check(CLI::Range(1, 2000));
+    run->add_option("--servers", line.servers, "overrides servers.count")->check(CLI::Range(1, 2000));
+    run->add_option("--seconds", line.seconds, "overrides seconds of the experiment")
+        ->check(CLI::Range(1.0, 3600.0));
+    run->add_flag("--quiet", line.quiet, "writes events to the log file only, not to standard error");
 }
 
 CLI::App* add_check_command(CLI::App& app, CommandLine& line) {
-    CLI::App* check = app.add_subcommand("check", "read an experiment and tell whether it is valid");
+    CLI::App* check = app.add_subcommand("check", "validate an experiment file");
     check->add_option("experiment", line.experiment_path, "the experiment, a TOML file")
         ->required()
         ->check(CLI::ExistingFile);
@@ -100,7 +101,9 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app{"The fleet lab: many real sidecars, fakes of what they talk to, faults, reports."};
+    CLI::App app{
+        "The fleet lab: runs many real sidecars against fake servers, clients and discovery, injects faults, "
+        "writes reports."};
     app.require_subcommand(1);
     CommandLine line;
     add_run_command(app, line);
@@ -115,7 +118,7 @@
         return kInvalidExperiment;
     }
     if (check->parsed()) {
-        std::cout << line.experiment_path << ": good, " << experiment.sidecars << " sidecars, "
+        std::cout << line.experiment_path << ": valid, " << experiment.sidecars << " sidecars, "
                   << experiment.servers << " servers, " << experiment.faults.size() << " faults\n";
         return 0;
     }
--- a/src/lab/toml_table.cpp
+++ b/src/lab/toml_table.cpp
@@ -30,7 +30,7 @@
 
 const toml::array* TomlTable::find_array(const std::string& key) {
     const toml::node* node = find(key);
-    if (node != nullptr && !node->is_array()) throw ExperimentError(path_of(key), "a list is wanted");
+    if (node != nullptr && !node->is_array()) throw ExperimentError(path_of(key), "must be a list");
     return node == nullptr ? nullptr : node->as_array();
 }
 
@@ -38,7 +38,7 @@
     const toml::node* node = find(key);
     if (node == nullptr) return;
     const auto flag = node->value_exact<bool>();
-    if (!flag) throw ExperimentError(path_of(key), "a flag (true or false) is wanted");
+    if (!flag) throw ExperimentError(path_of(key), "must be true or false");
     value = *flag;
 }
 
@@ -46,7 +46,7 @@
     const toml::node* node = find(key);
     if (node == nullptr) return;
     const auto text = node->value_exact<std::string>();
-    if (!text) throw ExperimentError(path_of(key), "a text is wanted");
+    if (!text) throw ExperimentError(path_of(key), "must be a string");
     value = *text;
 }
 
@@ -54,7 +54,7 @@
     const toml::node* node = find(key);
     if (node == nullptr) return;
     const auto number = node->value<double>();
-    if (!number || node->is_string()) throw ExperimentError(path_of(key), "a number is wanted");
+    if (!number || node->is_string()) throw ExperimentError(path_of(key), "must be a number");
     if (!(*number >= low && *number <= high)) throw out_of_range(path_of(key), low, high);
     value = *number;
 }
@@ -63,7 +63,7 @@
     const toml::node* node = find(key);
     if (node == nullptr) return;
     const auto number = node->value_exact<std::int64_t>();
-    if (!number) throw ExperimentError(path_of(key), "a whole number is wanted");
+    if (!number) throw ExperimentError(path_of(key), "must be an integer");
     if (*number < low || *number > high)
         throw out_of_range(path_of(key), static_cast<double>(low), static_cast<double>(high));
     value = *number;
@@ -89,7 +89,7 @@
 void TomlTable::read_table(const std::string& key, const std::function<void(TomlTable&)>& read_fields) {
     const toml::node* node = find(key);
     if (node == nullptr) return;
-    if (!node->is_table()) throw ExperimentError(path_of(key), "a table is wanted");
+    if (!node->is_table()) throw ExperimentError(path_of(key), "must be a table");
     TomlTable table(*node->as_table(), path_of(key));
     read_fields(table);
     table.reject_unknown_fields();
@@ -101,7 +101,7 @@
     for (std::size_t i = 0; i < list->size(); ++i) {
         const std::string path = indexed(path_of(key), i);
         const toml::table* fields = (*list)[i].as_table();
-        if (fields == nullptr) throw ExperimentError(path, "a table is wanted");
+        if (fields == nullptr) throw ExperimentError(path, "must be a table");
         TomlTable table(*fields, path);
         read_fields(table);
         table.reject_unknown_fields();
