--- a/src/control/operator_json.cpp
+++ b/src/control/operator_json.cpp
@@ -1,7 +1,6 @@
 #include "control/operator_json.hpp"
 
 #include <cmath>
-#include <cstring>
 #include <nlohmann/json.hpp>
 #include <sstream>
 
@@ -27,7 +26,7 @@
                  {"failed", counts.failed},
                  {"bytes", counts.bytes}};
     if (!store->usable()) view["why"] = store->unusable_reason();
-    if (counts.last_error) view["last_error"] = std::strerror(counts.last_error);
+    if (counts.last_error) view["last_error"] = counts.last_error.message();
     return view;
 }
 
--- a/src/storage/background_writer.cpp
+++ b/src/storage/background_writer.cpp
@@ -61,7 +61,7 @@
         const std::error_code error = s.store->save(next.key(), next.mapped());
         lock.lock();
         s.writing = false;
-        s.counts.last_error = error.value();
+        s.counts.last_error = error;
         if (!error) {
             failures = 0;
             ++s.counts.written;
--- a/src/storage/background_writer.hpp
+++ b/src/storage/background_writer.hpp
@@ -9,6 +9,7 @@
 #include <memory>
 #include <mutex>
 #include <string>
+#include <system_error>
 #include <thread>
 
 #include "storage/record_store.hpp"
@@ -19,7 +20,7 @@
 public:
     struct Counts {
         std::uint64_t written = 0, failed = 0, coalesced = 0, bytes = 0;
-        int last_error = 0;  // errno of the last write; 0: it succeeded
+        std::error_code last_error;  // of the last write; none if it succeeded
     };
     using Clock = std::chrono::steady_clock;
 
--- a/tests/storage/record_store_test.cpp
+++ b/tests/storage/record_store_test.cpp
@@ -291,7 +291,8 @@
     BackgroundWriter writer(directory, store, std::chrono::milliseconds(2));
     writer.submit("world", "one");
     while (writer.counts().failed < 3) std::this_thread::sleep_for(std::chrono::milliseconds(1));
-    EXPECT_EQ(writer.counts().last_error, EIO);
+    EXPECT_EQ(writer.counts().last_error, std::error_code(EIO, std::generic_category()));
+    EXPECT_EQ(writer.counts().last_error.message(), "Input/output error");
     writer.submit("world", "two");
     directory->failing = false;
     ASSERT_TRUE(writer.settled(std::chrono::seconds(30)));
