--- a/src/process/node.cpp
+++ b/src/process/node.cpp
@@ -1,6 +1,6 @@
 #include "process/node.hpp"
 
-#include "common/open_with_retry.hpp"
+#include "control/listen_with_retry.hpp"
 #include "control/operator_endpoint.hpp"
 #include "process/resource_limits.hpp"
 
--- a/src/process/node.hpp
+++ b/src/process/node.hpp
@@ -26,7 +26,7 @@
 class Node {
 public:
     /// Throws ConfigError or boost::system::system_error if it can't listen. May wait for addresses to become
-    /// free (open_with_retry.hpp).
+    /// free (listen_with_retry.hpp).
     Node(asio::io_context& io, Config config);
     /// The same with what an earlier run has left.
     Node(asio::io_context& io, Start start);
--- a/src/proxy/listener.cpp
+++ b/src/proxy/listener.cpp
@@ -7,6 +7,7 @@
 
 #include "common/log.hpp"
 #include "common/open_with_retry.hpp"
+#include "control/listen_with_retry.hpp"
 #include "proxy/client_session.hpp"
 
 namespace ochregrade::sidecar {
