--- a/tests/proxy/client_disconnect_test.cpp
+++ b/tests/proxy/client_disconnect_test.cpp
@@ -94,7 +94,6 @@
     for (const std::size_t pipelined_bytes : {40u << 10, 100u << 10, 1000u << 10}) {
         SCOPED_TRACE(pipelined_bytes);
         std::promise<bool> closed;
-        std::future<bool> closed_seen = closed.get_future();
         FakeServer server([&](Wire& wire, const HttpRequest&, int) {
             closed.set_value(wire.ended());
             return false;
@@ -108,11 +107,7 @@
         std::thread client([&] { app->wire.write(pipelined), app.reset(); });
         EXPECT_TRUE(sidecar.until([&] { return sidecar.driver.totals().client_disconnects == 1; }));
         client.join();
-        // The attempt is cancelled by a handler after the one that counts the disconnect, and until() may
-        // stop between.
-        sidecar.until(
-            [&] { return closed_seen.wait_for(std::chrono::seconds(0)) == std::future_status::ready; });
-        EXPECT_TRUE(closed_seen.get());
+        EXPECT_TRUE(closed.get_future().get());
         EXPECT_EQ(server.seen().size(), 1u) << "no pipelined request is sent either";
         EXPECT_EQ(sidecar.listener.connections(), 0u);
     }
--- a/tests/support/stepped_sidecar.hpp
+++ b/tests/support/stepped_sidecar.hpp
@@ -50,7 +50,8 @@
     void list(const std::vector<json>& hosts) {
         driver.endpoints_received(parse_endpoint_list(json{{"seq", 6}, {"whole", true}, {"hosts", hosts}}));
     }
-    /// Runs the loop until `done` holds; false if it does not in time.
+    /// Runs the loop until `done` holds, and then what is ready: a handler may leave the rest of its work to
+    /// one that it posts. False if `done` does not hold in time.
     template <class Done>
     bool until(Done done) {
         for (const auto end = std::chrono::steady_clock::now() + kPatience; !done();) {
@@ -58,6 +59,7 @@
             io.restart();
             io.run_for(std::chrono::milliseconds(2));
         }
+        turn();
         return true;
     }
     HttpResponse answer(App& app) {
