--- /dev/null
+++ b/bench/support/fakes.py
@@ -0,0 +1,117 @@
+"""Fake upstreams and a fake discovery service for the benchmarks, on loopback in this process's event loop.
+
+The fault soak has fakes of its own (tests/soak), which inject faults and record what happened.
+"""
+
+import asyncio
+import collections
+import json
+import random
+import urllib.parse
+
+from support import http1
+
+FIRST_SEQUENCE = 41  # of the list of servers
+_BACKLOG = 512
+
+
+class FakeUpstreams:
+    """Upstream servers, each on a port of its own; they count how often each request was executed."""
+
+    def __init__(self, count, work_s=0.002):
+        self.count, self.work_s = count, work_s
+        self.executions = collections.Counter()  # by correlation id
+        self.failing_ports = set()  # ports on which every request gets status 500
+        self.ports = []
+        self._servers = []
+
+    async def start(self):
+        """Listens on every port."""
+        for _ in range(self.count):
+            server = await asyncio.start_server(self._serve, "127.0.0.1", 0, backlog=_BACKLOG)
+            self._servers.append(server)
+            self.ports.append(server.sockets[0].getsockname()[1])
+
+    async def _serve(self, reader, writer):
+        try:
+            while (message := await http1.read_message_or_none(reader)) is not None:
+                await self._execute(message)
+                if writer.get_extra_info("sockname")[1] in self.failing_ports:
+                    writer.write(http1.response(500))
+                    continue
+                writer.write(http1.response(200, message.target.encode()))
+                await writer.drain()
+        except (ConnectionError, asyncio.CancelledError):
+            pass  # the peer has left, or the scenario is over
+        finally:
+            writer.close()
+
+    async def _execute(self, message):
+        """Probes have no correlation id and take no time."""
+        if "x-correlation-id" in message.headers:
+            self.executions[message.headers["x-correlation-id"]] += 1
+            await asyncio.sleep(self.work_s * random.uniform(0.5, 1.5))
+
+    def hosts(self, listed):
+        """So many entries for discovery's list; several may share a port."""
+        return [self._host(i) for i in range(listed)]
+
+    def _host(self, number):
+        return {
+            "host": f"s-{number:03d}",
+            "dial": f"127.0.0.1:{self.ports[number % self.count]}",
+            "site": "a",
+            "class": "m",
+            "block": 0,
+            "health": "SERVING",
+            "share": 1.0,
+            "born_ms": 0,
+        }
+
+
+class FakeDiscovery:
+    """Serves the list of servers; a watch is answered on a change or when its wait ends."""
+
+    def __init__(self, hosts):
+        self.hosts, self.sequence = hosts, FIRST_SEQUENCE
+        self.delay_s = 0.0  # before each answer to a request for the whole list
+        self.port = 0
+        self._server = None
+        self._changed = asyncio.Event()
+
+    async def start(self):
+        """Listens on a free port."""
+        self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
+        self.port = self._server.sockets[0].getsockname()[1]
+
+    def publish(self, hosts):
+        """Replaces the list; every watch is answered at once with the whole of it."""
+        self.hosts, self.sequence = hosts, self.sequence + 1
+        self._changed.set()
+        self._changed = asyncio.Event()
+
+    async def _serve(self, reader, writer):
+        try:
+            while (message := await http1.read_message_or_none(reader)) is not None:
+                whole = await self._wait(message.target)
+                listed = {"seq": self.sequence, "whole": whole, "hosts": self.hosts if whole else []}
+                writer.write(http1.response(200, json.dumps(listed).encode()))
+                await writer.drain()
+        except (ConnectionError, asyncio.CancelledError):
+            pass  # the peer has left, or the scenario is over
+        finally:
+            writer.close()
+
+    async def _wait(self, target):
+        """Waits until a request is to be answered; whether the answer has the whole list."""
+        query = urllib.parse.parse_qs(urllib.parse.urlsplit(target).query)
+        if "after" not in query:
+            await asyncio.sleep(self.delay_s)
+            return True
+        after = int(query["after"][0])
+        if after >= self.sequence:
+            try:
+                await asyncio.wait_for(self._changed.wait(), int(query["wait_ms"][0]) / 1000)
+            except asyncio.TimeoutError:
+                pass
+        return after != self.sequence
