--- a/bench/reload.py
+++ b/bench/reload.py
@@ -149,7 +149,7 @@
     parser.add_argument("--runs", type=int, default=10)
     parser.add_argument("--seconds", type=float, default=3)
     parser.add_argument("--every-ms", type=float, default=20)
-    parser.add_argument("--state", action="store_true", help="with a state folder")
+    parser.add_argument("--state", action="store_true", help="run the sidecar with a state folder")
     parser.add_argument("--rate", type=float, default=400)
     return parser.parse_args()
 
--- a/tools/check_readability.py
+++ b/tools/check_readability.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Reads the C++ sources as a newcomer would stumble over them, and prints what is left.
+"""Checks the C++ sources for what makes them hard to read, and prints what is left.
 
     tools/check_readability.py [--list] [--record]
 
@@ -196,8 +196,8 @@
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("--list", action="store_true", help="name each place")
-    parser.add_argument("--record", action="store_true", help="write what is found as the new baseline")
+    parser.add_argument("--list", action="store_true", help="print each place")
+    parser.add_argument("--record", action="store_true", help="record what is found as the new baseline")
     arguments = parser.parse_args()
     found = find_places()
     for kind, places in sorted(found.items()):
