--- a/bench/guarantee_rows.py
+++ b/bench/guarantee_rows.py
@@ -562,7 +562,7 @@
                 "    if (request.ended) return;\n    request.ended = true;",
                 "    request.ended = true;",
             ),
-            Edit(SESSION, "    if (state_ != State::waiting) return;  // the client has left\n", ""),
+            Edit(SESSION, "    if (state_ != State::waiting) return;  // the client has disconnected\n", ""),
             *CLOSED_WHEN_OVER,
         ],
         PROXY_TESTS,
@@ -589,7 +589,7 @@
     Guarantee(
         "reading continues while a request waits",
         [
-            Edit(SESSION, "    receive();\n}\n\n// Gives back", "}\n\n// Gives back"),
+            Edit(SESSION, "    receive();\n}\n\n// Releases", "}\n\n// Releases"),
             Edit(SESSION, "    if (state_ == State::waiting) receive();\n", ""),
         ],
         PROXY_TESTS,
--- a/src/proxy/balancer_driver.cpp
+++ b/src/proxy/balancer_driver.cpp
@@ -1,5 +1,5 @@
-// What happens to requests, attempts and endpoints, as events for the balancer. The execution of its actions
-// is in balancer_driver_actions.cpp.
+// Turns what happens to requests, attempts and endpoints into events for the balancer. The balancer's actions
+// are executed in balancer_driver_actions.cpp.
 #include "proxy/balancer_driver.hpp"
 
 #include <algorithm>
@@ -9,14 +9,14 @@
 
 namespace {
 
-// A 4xx of an endpoint concerns the request itself: every endpoint would answer the same, so it is forwarded
-// and counts neither for nor against the endpoint. 408 (timeout) and 429, which would tell the client that
-// the request never ran, are treated as failures of the attempt.
+// Whether the status is a 4xx that concerns the request itself: every endpoint would respond the same, so the
+// response is forwarded and counts neither for nor against the endpoint. 408 (timeout) and 429, which would
+// promise the client that the request never ran, are treated as failures of the attempt.
 bool is_request_error(unsigned status) {
     return status >= 400 && status < 500 && status != 408 && status != 429;
 }
 
-// What the request's headers say, for the balancer.
+// The balancer's event for a new request, from the request's headers.
 RequestArrived arrival_event(RequestId id, const HttpRequest& message, Millis time_left,
                              const ConfigSnapshot& snapshot) {
     RequestArrived event;
@@ -171,8 +171,8 @@
     remove_request_if_done(id);
 }
 
-// To the balancer this is as if the client had disconnected: it owes no answer and withdraws what is in
-// flight.
+// The balancer is notified as if the client had disconnected: it then sends no response of its own and
+// withdraws the attempts in flight.
 void BalancerDriver::fail_for_pipelined(RequestId id) {
     PendingRequest* request = find_request(id);
     if (!request || request->ended) return;
@@ -192,7 +192,7 @@
     --pending_requests_;
     ++total;
     if (tracing()) trace("answered", request, {{"status", response.result_int()}});
-    // An endpoint's answer about the request itself says nothing about the configuration.
+    // A forwarded 4xx concerns the request itself and shows nothing about the configuration.
     if (on_final_answer && &total != &totals_.forwarded_errors)
         on_final_answer(request.snapshot->version, &total == &totals_.served);
     if (const auto client = request.client.lock()) client->answer(std::move(response));
@@ -218,15 +218,15 @@
 
 // ---- Attempts and probes
 
-// Between the decision and the write the client may have left, or the endpoint may have been listed as
-// draining. That a client has left is known to the kernel before it is read here, so its connection is
+// Between the decision and the write, the client may have disconnected or the endpoint may have been listed
+// as draining. The kernel knows of a disconnect before this process has read it, so the client's socket is
 // checked. An attempt that is partly written may be completed at a draining endpoint.
 bool BalancerDriver::may_write(AttemptKey key, bool partly_written) {
     PendingRequest* request = find_request(key.id);
     if (!request) return false;
     if (!request->ended)
         if (const auto client = request->client.lock()) client->check_disconnected();
-    request = find_request(key.id);  // it may have been removed because its client has left
+    request = find_request(key.id);  // check_disconnected() may have removed the request
     if (!request) return false;
     EndpointFacts endpoint = endpoints_.facts(request->facts.attempts[key.attempt].endpoint);
     endpoint.serving |= partly_written;
@@ -285,10 +285,10 @@
     EndpointTable::Changes changes = endpoints_.update(list);
     event.endpoints = std::move(changes.updates);
     has_endpoints_ = true;
-    // No pending connection to an endpoint that drains or is gone is used from here on.
+    // From here on, no pending connection to a draining or removed endpoint is used.
     const std::vector<EndpointId> not_serving = endpoints_.not_serving();
-    // The balancer sees the list first: what the list withdraws is then rescheduled by it, and not to an
-    // endpoint that it excludes.
+    // The balancer gets the list before the attempts are withdrawn, so that it does not retry them at an
+    // endpoint that the list excludes.
     enqueue(std::move(event));
     for (const EndpointId id : changes.moved) upstream_.withdraw_endpoint(id);
     for (const EndpointId id : not_serving) upstream_.withdraw_endpoint(id);
@@ -310,7 +310,7 @@
     StateRestored event;
     for (const NamedEndpointSnapshot& snapshot : snapshots) {
         const auto id = endpoints_.find_id(snapshot.name);
-        // What was learned about an earlier process of the same name does not apply.
+        // The state of an earlier process with the same name does not apply.
         if (!id || endpoints_.find(*id)->started_at != snapshot.started_at) continue;
         event.endpoints.push_back({*id, snapshot.ejected_for, snapshot.latency_ratio});
     }
--- a/src/proxy/balancer_driver.hpp
+++ b/src/proxy/balancer_driver.hpp
@@ -1,6 +1,7 @@
-// Connects the Balancer to the sockets: what happens becomes its events, handled in order and never
-// re-entrantly, and its actions are executed in order. Makes no decision of its own: it neither chooses
-// endpoints nor retries or rejects requests.
+// Connects the Balancer to the sockets: turns what happens to requests, attempts, timers and endpoints into
+// balancer events, which are handled in order and never re-entrantly, and executes the balancer's actions in
+// order. The driver makes no load-balancing decision: it neither chooses endpoints nor retries or rejects
+// requests.
 #pragma once
 
 #include <array>
@@ -32,12 +33,12 @@
 class DiscoveryClient;
 class GossipTransport;
 
-/// The learned state of an endpoint that is kept across restarts of the sidecar, for one start of the
-/// endpoint.
+/// The state learned about one endpoint process (a name with its start time) that is preserved across
+/// restarts of the sidecar.
 struct NamedEndpointSnapshot {
     std::string name;
-    Millis started_at = 0;   // Unix milliseconds
-    Millis ejected_for = 0;  // milliseconds left; 0: not ejected
+    Millis started_at = 0;   // Unix milliseconds, as discovery reports it
+    Millis ejected_for = 0;  // milliseconds left of the ejection; 0: not ejected
     double latency_ratio = 0;
 };
 
@@ -47,35 +48,39 @@
                    UpstreamPool::Limits limits);
     ~BalancerDriver();
     void connect_to(DiscoveryClient& discovery, GossipTransport* gossip);
-    /// Starts the balancer, with the endpoint list kept from before if there is one.
+    /// Starts the balancer, with the endpoint list in the configuration (Config::known_endpoints) if there is
+    /// one; that list may be restored from the previous run.
     void start();
-    /// Puts a configuration in force for requests that begin from now on. Events so far are handled by the
-    /// one in force before. Must not be called from within an event.
+    /// Applies a configuration to requests that start from now on. Events that are queued already are handled
+    /// with the previous configuration. Must not be called from within an event.
     void apply(ConfigSnapshotPtr snapshot, UpstreamPool::Limits limits);
-    /// Called with the final answer of each request, by the configuration version that it began with.
+    /// Called with the final response to each request, unless it is a forwarded 4xx. `version`: of the
+    /// request's configuration; `served`: an endpoint has processed the request successfully.
     std::function<void(std::uint64_t version, bool served)> on_final_answer;
 
     /// Called with evidence to be shared with the other sidecars.
     std::function<void(replication::EndpointKey endpoint, const replication::Evidence& evidence)> on_evidence;
 
-    /// A request has arrived completely; `time_left` in milliseconds. The answer comes later, through the
-    /// client.
+    /// Starts a request that has arrived completely; `time_left` in milliseconds. The final response is sent
+    /// later, through `client`.
     RequestId request_arrived(RequestPtr request, Millis time_left, std::weak_ptr<Client> client,
                               ConfigSnapshotPtr snapshot);
     void client_disconnected(RequestId id);
-    /// Answers a request as failed before its deadline: requests pipelined behind it are due.
+    /// Fails a request (502) before its deadline, because the responses to requests pipelined behind it are
+    /// due.
     void fail_for_pipelined(RequestId id);
 
-    /// A list from discovery; `cached`: kept from an earlier run.
+    /// Applies a list from discovery. `cached`: the list was not received in this run but is in the
+    /// configuration or restored.
     void endpoints_received(const EndpointList& endpoints, bool cached = false);
-    /// A call to discovery failed.
+    /// Called when a call to discovery has failed.
     void endpoints_failed();
     replication::EndpointKey endpoint_key_of(const ListedEndpoint& endpoint) const;
-    /// Evidence from the other sidecars; endpoints that are not listed here are ignored.
+    /// Passes evidence from other sidecars to the balancer, except about endpoints that are not listed here.
     void evidence_received(const std::vector<replication::EndpointTotals>& evidence);
     void gossip_received(std::uint32_t from, std::vector<std::uint8_t> bytes);
 
-    /// The listed endpoints and what was learned about them, to be restored after a restart.
+    /// The listed endpoints and the state learned about them, to be restored by the next run.
     EndpointList endpoints() const { return endpoints_.list(); }
     std::vector<NamedEndpointSnapshot> endpoint_snapshots() const;
     void restore(const std::vector<NamedEndpointSnapshot>& snapshots);
@@ -83,23 +88,23 @@
     bool has_endpoints() const { return has_endpoints_; }
     std::size_t pending_requests() const { return pending_requests_; }
     const ConfigSnapshotPtr& snapshot() const { return snapshot_; }
-    /// Counts since the start; requests by how they ended.
+    /// Counters since the sidecar started; requests are counted by how they ended.
     struct Totals {
         std::uint64_t arrived = 0, served = 0, rejected = 0, failed = 0, forwarded_errors = 0,
                       client_disconnects = 0;
         std::uint64_t attempts = 0, probes = 0, gossip_sent = 0, connects = 0;
-        // Final answers that are not an endpoint's, by reason.
+        // Final responses that the sidecar generated itself, by reason.
         std::array<std::uint64_t, static_cast<std::size_t>(EndReason::count)> rejections{}, failures{};
-        // Attempts after the first, by the outcome of the one before; the last element: it was still in
-        // flight (a hedge).
+        // Attempts after the first one of a request, by the outcome of the previous attempt. The last element
+        // counts hedges: the previous attempt was still in flight.
         std::array<std::uint64_t, kOutcomeCount + 1> retries{};
     };
     const Totals& totals() const { return totals_; }
-    /// Checks every action that a rule may forbid.
+    /// Checks every action that a rule of the protocol may forbid.
     RuleGuard& rule_guard() { return rule_guard_; }
     const RuleGuard& rule_guard() const { return rule_guard_; }
-    /// What is in use now, here, on the sockets and in the balancer. At rest: no requests, and only the
-    /// listed endpoints.
+    /// What the driver, the upstream connections and the balancer hold now. While no request is being served,
+    /// `requests` and `attempts` are 0 and only the listed endpoints are counted.
     struct Usage {
         std::size_t requests = 0, attempts = 0, endpoints = 0, known_endpoints = 0, pools = 0,
                     connections = 0, ejected = 0;
@@ -153,11 +158,11 @@
     std::vector<Action> actions_;
     TimerQueue timers_;
     asio::steady_timer timer_;
-    Millis timer_set_for_ = 0;  // 0: not running
+    Millis timer_set_for_ = 0;  // Clock milliseconds; 0: not running
 
-    std::unordered_map<RequestId, PendingRequest> requests_;  // also those that ended with attempts in flight
+    std::unordered_map<RequestId, PendingRequest> requests_;  // also ended requests with attempts in flight
     RequestId next_request_id_ = 1;
-    std::size_t pending_requests_ = 0;  // not yet answered
+    std::size_t pending_requests_ = 0;  // requests that have not ended
     EndpointTable endpoints_;
     bool has_endpoints_ = false;
 };
--- a/src/proxy/balancer_driver_actions.cpp
+++ b/src/proxy/balancer_driver_actions.cpp
@@ -1,4 +1,4 @@
-// The execution of the balancer's actions.
+// Executes the balancer's actions.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -13,17 +13,17 @@
 
 namespace {
 
-// A Retry-After header's value: seconds, with milliseconds.
+// The value of a Retry-After header: seconds with three decimals.
 std::string retry_after_seconds(Millis retry_after) {
     std::array<char, 32> seconds{};
     std::snprintf(seconds.data(), seconds.size(), "%.3f", retry_after / 1000);
     return seconds.data();
 }
 
-// A number as one byte of an evidence record, saturated.
+// A number as one byte of an evidence record, clamped to 0...255.
 std::uint8_t to_byte(double value) { return static_cast<std::uint8_t>(std::clamp(value, 0.0, 255.0)); }
 
-// The latency ratio is stored in units of 1/64.
+// An evidence record stores the latency ratio in units of 1/64.
 constexpr double kLatencyRatioUnits = 64;
 
 }  // namespace
@@ -63,7 +63,7 @@
 
 void BalancerDriver::execute(const CancelAttempt& action) { upstream_.cancel({action.id, action.attempt}); }
 
-// ---- Final answers
+// ---- Final responses
 
 void BalancerDriver::execute(const RejectRequest& action) {
     PendingRequest* request = find_request(action.id);
--- a/src/proxy/client_session.cpp
+++ b/src/proxy/client_session.cpp
@@ -13,19 +13,21 @@
 
 namespace {
 
-// The protocol: a client gets a response or a close within 3 s, however little it sends.
-constexpr Millis kReadTimeout = 2500;    // for a whole request, from the connection's start or its first byte
-constexpr Millis kMinReadTimeout = 200;  // for the rest of a request whose first bytes came long before
+// Timeouts in milliseconds. The protocol requires a response or a close within 3 s, however little a client
+// sends.
+constexpr Millis kReadTimeout = 2500;    // for a whole request, from the connection's start or the first byte
+constexpr Millis kMinReadTimeout = 200;  // for the rest of a request whose first bytes arrived long before
 constexpr Millis kWriteTimeout = 5000;   // for a response that the client does not read
 constexpr Millis kLingerTimeout = 500;   // for the client to read the last response
-// How long a new connection may take to send its first request before a drain closes it.
+// Milliseconds that a new connection may take to send its first request before a drain closes it.
 constexpr Millis kFirstRequestGrace = 200;
-// How long a session must have been in its state before it may be evicted: silent ones that were never used,
-// slow senders of a first request, and idle ones, on which the client may still rely.
+// Milliseconds that a session must have been in its state before it may be evicted: a lingering session or
+// one that has never had a valid request (silent), a slow sender of a first request, and an idle session,
+// which its client may still rely on.
 constexpr Millis kSilentGrace = 20;
 constexpr Millis kSlowGrace = 150;
 constexpr Millis kIdleGrace = 2000;
-// Subtracted from the client's time: the response must have arrived by its deadline.
+// Milliseconds subtracted from the client's time left, so that the response arrives by the client's deadline.
 constexpr Millis kAnswerMargin = 5;
 
 http::status status_for(error_code ec) {
@@ -34,7 +36,7 @@
     return http::status::bad_request;
 }
 
-// As in the trace.
+// The name of the state in the trace.
 std::string_view to_string(ClientSession::State state) {
     constexpr std::array<std::string_view, 6> kNames = {"idle",    "reading",   "waiting",
                                                         "writing", "lingering", "closed"};
@@ -53,13 +55,13 @@
     error_code ec;
     session->socket_.set_option(tcp::no_delay(true), ec);
     session->socket_.non_blocking(true, ec);
-    // Counted from when the connection was established, which may be before it could be accepted.
+    // The timeout counts from when the connection was established, which may be long before it was accepted.
     session->deadline_ = session->state_since_ + std::max(kReadTimeout - session->waited_, kMinReadTimeout);
     session->receive();
 }
 
 bool ClientSession::is_quiet() {
-    // Whoever opens a connection sends a request on it at once.
+    // A client that opens a connection is expected to send a request on it at once.
     const bool is_new = first_request_ && context_.clock.now() < state_since_ + kFirstRequestGrace;
     return state_ == State::idle && input_.size() == 0 && !is_new && !has_unread_bytes();
 }
@@ -127,7 +129,8 @@
     state_ = State::reading;
     pipelined_.begin_next();
     const Millis now = context_.clock.now();
-    // Its time runs from its arrival: pipelined, or while nothing was read.
+    // The request's time runs from its arrival, which may be earlier than now: the request may have been
+    // pipelined, or unread while the process was paused or could not accept connections.
     request_began_ =
         pipelined_since_.value_or(now - std::max(std::exchange(waited_, 0), context_.loop_waited()));
     pipelined_since_.reset();
@@ -160,7 +163,8 @@
     return head.target() == "/healthz" && head.method() == http::verb::get;
 }
 
-// No body is read before its head is valid and there is memory for it. False: the request has been rejected.
+// Validates the head and reserves memory for the body before the body is read. Returns false if the request
+// has been rejected.
 bool ClientSession::accept_head() {
     snapshot_ = context_.driver.snapshot();
     const HttpRequest& head = parser_->get();
@@ -191,11 +195,12 @@
     auto request = std::make_shared<HttpRequest>(parser_->release());
     parser_.reset();
     account_pipelined(input_.size());
-    if (input_.size() > 0) pipelined_since_ = request_began_;  // it came together with this request
+    if (input_.size() > 0) pipelined_since_ = request_began_;  // the next request came with this one
     keep_alive_ = request->keep_alive();
     first_request_ = false;
     if (health_check) return answer_health_check();
-    // A request belongs to the configuration in force at its last byte. Trailers may add to the head.
+    // The configuration in force at a request's last byte applies to the request. Trailers may have added
+    // headers.
     const bool config_changed = snapshot_ != context_.driver.snapshot();
     snapshot_ = context_.driver.snapshot();
     if (chunked && framing_error(*request)) return reject(http::status::bad_request);
@@ -218,9 +223,9 @@
     write(HttpResponse(ready ? http::status::ok : http::status::service_unavailable, 11), keep_alive_);
 }
 
-// Milliseconds from the request's arrival.
+// The time left in milliseconds, from the request's arrival.
 Millis ClientSession::time_left(const HttpRequest& request) const {
-    // No client waits longer than the longest deadline of any class.
+    // No client waits longer than the longest deadline of any request class.
     const Millis left =
         std::min(*parse_time_left(request["X-Time-Left"]), snapshot_->config.longest_deadline);
     return context_.draining ? std::min(left, context_.drain_deadline - context_.clock.now()) : left;
@@ -240,7 +245,7 @@
     receive();
 }
 
-// Gives back what the session holds for its request.
+// Releases the memory and the correlation id that the session holds for its request.
 void ClientSession::release_request() {
     context_.body_bytes -= std::exchange(reserved_body_bytes_, 0);
     if (!open_request_id_.empty()) context_.open_request_ids.erase(open_request_id_);
@@ -250,7 +255,7 @@
 // ---- Responses
 
 void ClientSession::answer(HttpResponse response) {
-    if (state_ != State::waiting) return;  // the client has left
+    if (state_ != State::waiting) return;  // the client has disconnected
     release_request();
     write(std::move(response), keep_alive_);
 }
@@ -262,7 +267,7 @@
     snapshot_.reset();
     deadline_ = context_.clock.now() + kWriteTimeout;
     response.version(11);
-    // Near the limit on connections, one that stays idle could keep the next from being accepted at all.
+    // Near the connection limit, an idle connection could prevent the next one from being accepted.
     keep_alive = keep_alive && !context_.draining && !context_.nearly_full();
     response.keep_alive(keep_alive);
     response.prepare_payload();
@@ -280,7 +285,8 @@
     linger();
 }
 
-// Closed with bytes unread, the kernel would reset the connection and discard the response.
+// Waits for the client to close first: if the socket were closed with unread bytes, the kernel would reset
+// the connection and discard the response.
 void ClientSession::linger() {
     state_ = State::lingering;
     state_since_ = context_.clock.now();
--- a/src/proxy/client_session.hpp
+++ b/src/proxy/client_session.hpp
@@ -1,5 +1,5 @@
 // One client connection: reads requests (HTTP/1.1, also pipelined), validates them, passes them to the
-// balancer driver and writes the responses, one request at a time, until it closes.
+// balancer driver and writes the responses, one request at a time, until the connection closes.
 #pragma once
 
 #include <memory>
@@ -13,28 +13,32 @@
 
 namespace ochregrade::sidecar {
 
-// What the kernel holds unread counts as memory, and a sender at full speed fills it.
+// Receive buffer of a client connection, bytes. Unread bytes in the kernel count towards the process's
+// memory, and a client that sends at full speed fills the buffer.
 constexpr int kClientReceiveBuffer = 64 * 1024;
-// What is read at a time; an idle session keeps no larger buffer.
+// Bytes read at a time. An idle session keeps no larger input buffer.
 constexpr std::size_t kClientReadSize = 4096;
 
 class ClientSession : public Client, public std::enable_shared_from_this<ClientSession> {
 public:
     enum class State { idle, reading, waiting, writing, lingering, closed };
-    /// Which sessions are closed first when another connection needs a place; never: this one is not closed.
+    /// The order in which sessions are closed for a new connection at the connection limit, first to last. A
+    /// session of rank `never` is not closed.
     enum class EvictionRank { silent, lingering, slow, idle, never };
 
-    /// `waited`: how long its first bytes may have been in the kernel when it was accepted, milliseconds.
+    /// `waited`: how long the connection's first bytes may have been unread in the kernel when the connection
+    /// was accepted, milliseconds.
     ClientSession(ListenerContext& context, tcp::socket socket, Millis waited);
 
-    /// Adds `session` to the list and begins to read.
+    /// Adds `session` to the context's list and starts reading.
     static void start(ListenerContext& context, const std::shared_ptr<ClientSession>& session);
 
     State state() const { return state_; }
     EvictionRank eviction_rank(Millis now) const;
-    /// Bytes are in the kernel that have not been read; closing now could lose a complete request.
+    /// Whether unread bytes are in the kernel: closing the connection now could lose a complete request.
     bool has_unread_bytes() { return peek(socket_) == SocketState::readable; }
-    /// Idle, with nothing in the kernel either, and not so new that its first request is to be expected.
+    /// Whether the session is idle, has no unread bytes in the kernel, and is not so new that its first
+    /// request is about to arrive.
     bool is_quiet();
 
     void answer(HttpResponse response) override;
@@ -43,7 +47,8 @@
 
     bool is_due(Millis now) const { return deadline_ > 0 && now >= deadline_; }
     void on_deadline();
-    /// Continues to discard pipelined bytes, up to the next bound.
+    /// Allows another kMaxDiscardedBytes of pipelined bytes to be discarded, and continues reading. Called at
+    /// each deadline check.
     void resume_reading();
 
 private:
@@ -81,30 +86,30 @@
     tcp::socket socket_;
     SessionList::iterator position_{};  // in the context's list
     State state_ = State::idle;
-    bool receiving_ = false;     // a wait for bytes is pending
-    bool first_request_ = true;  // no complete, valid request has come yet
-    bool disconnected_ = false;  // the client has left while its response was being written
+    bool receiving_ = false;     // a wait for the socket to become readable is pending
+    bool first_request_ = true;  // no complete, valid request has arrived yet
+    bool disconnected_ = false;  // the client disconnected while its response was being written
     bool head_checked_ = false;
     bool keep_alive_ = true;
 
     beast::flat_buffer input_;
     std::optional<http::request_parser<http::string_body>> parser_;
     std::string output_;          // the response being written
-    ConfigSnapshotPtr snapshot_;  // in force when the request's head was read
+    ConfigSnapshotPtr snapshot_;  // the configuration of the request being read
     RequestId request_id_ = 0;
-    std::string open_request_id_;  // the X-Correlation-Id that this session holds
+    std::string open_request_id_;  // its X-Correlation-Id while it is in open_request_ids
     std::size_t head_bytes_ = 0;
     std::size_t reserved_body_bytes_ = 0;
     std::size_t reserved_pipelined_bytes_ = 0;
     std::size_t discarded_bytes_ = 0;            // while lingering
     std::size_t discarded_pipelined_bytes_ = 0;  // since the last resume_reading()
 
-    Millis waited_;  // see the constructor; 0 from the first request on
+    Millis waited_;  // see the constructor; 0 once the first request has started
     PipelinedRequests pipelined_;
-    std::optional<Millis> pipelined_since_;  // when the first of the pipelined bytes arrived
+    std::optional<Millis> pipelined_since_;  // when the first pipelined byte arrived, Clock milliseconds
     Millis state_since_;
     Millis request_began_ = 0;
-    Millis deadline_ = 0;  // of the state; 0: none
+    Millis deadline_ = 0;  // of the current state, Clock milliseconds; 0: none
 };
 
 }  // namespace ochregrade::sidecar
--- a/src/proxy/client_session_input.cpp
+++ b/src/proxy/client_session_input.cpp
@@ -1,4 +1,5 @@
-// What a client session reads: bytes of the current request, pipelined ones, and the end of the connection.
+// The reading half of a client session: bytes of the current request, pipelined bytes, and the client's
+// disconnect.
 #include <algorithm>
 #include <array>
 
@@ -10,23 +11,24 @@
 
 namespace {
 
-// A request with others pipelined behind it is failed this long after the first of their deadlines: their
-// responses are due 0.5 s after it, and it takes one check of deadlines to notice and a moment to answer
-// them.
+// A request with other requests pipelined behind it is failed this many milliseconds after the earliest of
+// their deadlines. Their responses are due 0.5 s after their deadlines; the 150 ms are for one deadline
+// check, which detects the timeout, and for sending the responses.
 constexpr Millis kPipelinedGrace = RuleGuard::kAnswerGrace - 150;
 constexpr std::size_t kMaxLingerBytes = 256 * 1024;
 
-// Pipelined bytes are kept up to kFreePipelinedBytes, and up to kMaxPipelinedBytes (one whole request) within
-// the memory for bodies. Further ones are discarded and the connection is closed after the response being
-// prepared: left unread, they would hide that the client leaves. The rate of discarding is bounded by
-// kMaxDiscardedBytes from one check of deadlines to the next: the 4 MB that a kernel holds for a sender take
-// 0.2 s.
+// Pipelined bytes are buffered up to kFreePipelinedBytes, and up to kMaxPipelinedBytes (one whole request) if
+// there is memory for bodies left. Further bytes are read and discarded, because unread bytes would hide a
+// disconnect, and the connection is closed after the response being prepared. At most kMaxDiscardedBytes are
+// discarded between two deadline checks, which bounds the rate: the 4 MB that a kernel holds for a sender
+// take 0.2 s.
 constexpr std::size_t kFreePipelinedBytes = kMaxHeader;
 constexpr std::size_t kMaxPipelinedBytes = kMaxHeader + kMaxBody;
 constexpr std::size_t kMaxDiscardedBytes = 1024 * 1024;
 constexpr std::size_t kDiscardSize = 64 * 1024;
 
-// What Linux reports of a connection that its peer has ended or that the network has broken.
+// Whether the error is one that Linux reports when the peer has closed the connection or the network has
+// failed.
 bool is_disconnect(error_code ec) {
     return ec == asio::error::eof || ec == asio::error::connection_reset || ec == asio::error::broken_pipe ||
            ec == asio::error::timed_out || ec == asio::error::host_unreachable ||
@@ -38,9 +40,10 @@
 
 // ---- Receiving
 
-// Pending in every state: it also detects that the client leaves. Bytes stay in the kernel until the handler
-// runs. A pending read would take them out some turns of the loop earlier, and whoever closes quiet
-// connections in between would close one whose request has arrived.
+// Waits for the socket to become readable. The wait is pending in every state, because it also detects a
+// disconnect of the client. Bytes stay in the kernel until the handler runs; a pending read would take them
+// out some turns of the event loop earlier, and close_idle() could in between close a connection whose
+// request has arrived.
 void ClientSession::receive() {
     if (receiving_ || state_ == State::closed) return;
     receiving_ = true;
@@ -60,7 +63,7 @@
     try {
         on_received(transfer.error, asio::buffer(chunk, transfer.bytes));
     } catch (const std::exception& error) {
-        // An error of one connection must not affect the others.
+        // An error of one connection must not affect other connections.
         log_line(std::string("client connection failed: ") + error.what());
         close(CloseReason::error);
     }
@@ -91,8 +94,8 @@
     disconnected_ = true;
 }
 
-// The next request is parsed when the current one is answered; reading goes on to detect that the client
-// leaves.
+// The next request is parsed after the response to the current one; reading continues in order to detect a
+// disconnect.
 void ClientSession::on_pipelined_bytes() {
     pipelined_.update(input_.data(), context_.clock.now() - context_.loop_waited());
     if (state_ == State::waiting) deadline_ = deadline_for_pipelined();
@@ -132,7 +135,8 @@
     account_pipelined(0);
 }
 
-// When the current request must have ended for the pipelined ones; 0 if none has a deadline.
+// When the current request must have ended so that the responses to pipelined requests are in time, Clock
+// milliseconds; 0 if no pipelined request has a deadline.
 Millis ClientSession::deadline_for_pipelined() const {
     const auto first = keep_alive_ ? pipelined_.first_deadline() : std::nullopt;
     return first ? *first + kPipelinedGrace : 0;
--- a/src/proxy/close_reason.hpp
+++ b/src/proxy/close_reason.hpp
@@ -9,16 +9,16 @@
 namespace ochregrade::sidecar {
 
 enum class CloseReason : std::size_t {
-    peer_closed,     // the peer ended it or it was reset
-    answered,        // its last exchange is complete
-    idle,            // unused for as long as allowed
-    timeout,         // the peer took too long
-    evicted,         // closed in favour of a new one at the limit on connections
-    draining,        // this process drains
-    retired,         // not expected to be used again
-    cancelled,       // its request was cancelled or withdrawn
-    connect_failed,  // never established
-    error,           // an error of this process or machine
+    peer_closed,     // the peer closed or reset the connection
+    answered,        // closed after its last exchange
+    idle,            // unused until the idle timeout
+    timeout,         // the peer exceeded a time limit
+    evicted,         // closed for a new connection at the connection limit
+    draining,        // this process is draining
+    retired,         // idle, and not expected to be used again
+    cancelled,       // its exchange was cancelled, withdrawn or not sent
+    connect_failed,  // not established, or failed before the request's last byte was written
+    error,           // an error in this process or on this machine
     count
 };
 
--- a/src/proxy/endpoint_table.cpp
+++ b/src/proxy/endpoint_table.cpp
@@ -39,8 +39,8 @@
         const EndpointId id = find_or_add(listed.name);
         UpstreamEndpoint& endpoint = endpoints_[id];
         const bool restarted = endpoint.started_at != listed.started_at;
-        // Another process, or another address, which another endpoint may have by now: open connections are
-        // of no use, and pending ones may reach the wrong process.
+        // The endpoint has a new process or a new address; another endpoint may use the old address by now.
+        // Open connections are useless then, and pending connections may reach the wrong process.
         if (restarted || endpoint.address != listed.address) changes.moved.push_back(id);
         if (restarted) endpoint.started_at_clock = start_times_.start_of(listed.started_at, clock_.now());
         endpoint.started_at = listed.started_at;
--- a/src/proxy/endpoint_table.hpp
+++ b/src/proxy/endpoint_table.hpp
@@ -1,5 +1,5 @@
-// The endpoints that the sidecar knows, by id: those that discovery lists, and those no longer listed while
-// attempts or probes are in flight at them. No sockets.
+// The endpoints that the sidecar knows, by id: endpoints that discovery lists, and removed endpoints while
+// attempts or probes are in flight to them. Uses no sockets.
 #pragma once
 
 #include <map>
@@ -23,8 +23,8 @@
     std::string name;
     tcp::endpoint address;
     EndpointState state = EndpointState::serving;
-    Millis started_at = 0;        // Unix milliseconds, as discovery reports it; identifies the start
-    Millis started_at_clock = 0;  // the same by the sidecar's clock
+    Millis started_at = 0;        // Unix milliseconds, as discovery reports it; identifies the process
+    Millis started_at_clock = 0;  // the same time in Clock milliseconds
     std::string zone;
     std::uint32_t cell = 0;
     double capacity_weight = 1;
@@ -36,7 +36,7 @@
 public:
     EndpointTable(const Clock& clock, Zones& zones) : clock_(clock), zones_(zones) {}
 
-    /// The endpoint; null if there is none.
+    /// The endpoint with this id; null if there is none.
     UpstreamEndpoint* find(EndpointId id);
     const UpstreamEndpoint* find(EndpointId id) const;
     std::optional<EndpointId> find_id(const std::string& name) const;
@@ -44,20 +44,20 @@
 
     struct Changes {
         std::vector<Endpoint> updates;  // for the balancer, in the list's order
-        std::vector<EndpointId> moved;  // to another process or address
+        std::vector<EndpointId> moved;  // endpoints with a new process or address
     };
-    /// Takes over a list from discovery.
+    /// Applies an endpoint list from discovery.
     Changes update(const EndpointList& list);
-    /// Those to which nothing new may be sent: draining or not listed.
+    /// Endpoints to which no new request may be sent: draining or not listed.
     std::vector<EndpointId> not_serving() const;
     /// Removes the endpoint if it is neither listed nor in use.
     void remove_if_unused(EndpointId id);
 
     /// All listed endpoints.
     EndpointList list() const;
-    /// What the rule guard needs to know of the endpoint now.
+    /// The facts about the endpoint that the rule guard checks, as of now.
     EndpointFacts facts(EndpointId id) const;
-    /// The key of an endpoint's start in evidence shared between sidecars.
+    /// The key of the listed endpoint process in evidence, the same in all sidecars.
     replication::EndpointKey key_of(const ListedEndpoint& listed) const;
     std::unordered_map<replication::EndpointKey, EndpointId> ids_by_key() const;
 
--- a/src/proxy/listener.cpp
+++ b/src/proxy/listener.cpp
@@ -34,9 +34,9 @@
 
 void Listener::listen(const tcp::endpoint& address) {
     listen_with_retry("listen", address, [&] { open_acceptor(address); });
-    // Otherwise Asio takes a connection that its client has aborted (ECONNABORTED, EPROTO) for an empty
-    // queue, and waits for an edge-triggered event that does not come for those behind it; its blocking call
-    // would wait in poll.
+    // Without this option, Asio treats a connection that its client has aborted (ECONNABORTED, EPROTO) like
+    // an empty accept queue. An asynchronous accept then waits for an edge-triggered event, which does not
+    // come for the connections that are already in the queue; a synchronous accept blocks in poll().
     acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
     accept();
     schedule_deadline_check();
@@ -44,10 +44,10 @@
 
 void Listener::open_acceptor(const tcp::endpoint& address) {
     error_code ignored;
-    acceptor_.close(ignored);  // left by an earlier try that failed
+    acceptor_.close(ignored);  // open if an earlier call has failed
     acceptor_.open(address.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
-    // Inherited by accepted sockets.
+    // Accepted sockets inherit this buffer size.
     acceptor_.set_option(asio::socket_base::receive_buffer_size(kClientReceiveBuffer));
     acceptor_.bind(address);
     acceptor_.listen(kAcceptQueueLength);
@@ -58,8 +58,8 @@
 
 void Listener::accept() {
     if (accepting_ || paused_ || stopped_) return;
-    // One connection over the limit is accepted and another one evicted for it. While all others are busy,
-    // the next one waits in the kernel until one is idle or closes.
+    // One connection over the limit is accepted, and another session is evicted for it. While all sessions
+    // are busy, the next connection waits in the accept queue until a session is idle or closed.
     if (context_.sessions.size() > context_.limits.connections && !evict_session())
         return accept_delay_.blocked(context_.clock.now());
     accept_delay_.resumed(context_.clock.now());
@@ -75,7 +75,7 @@
     accept();
 }
 
-// The connection stays in the kernel; accepting again at once would spin.
+// The connection stays in the accept queue, so accepting again at once would fail in a busy loop.
 void Listener::pause_accepting(error_code shortage) {
     log_line("accept failed: " + shortage.message());
     accept_delay_.blocked(context_.clock.now());
@@ -112,8 +112,8 @@
     ClientSession::start(context_, std::make_shared<ClientSession>(context_, std::move(socket), waited));
 }
 
-// How long the first bytes of a connection that is accepted now have been in the kernel: what TCP reports,
-// and no more than the time for which nothing could be accepted.
+// How long the first bytes of a connection that is accepted now have been in the kernel, in milliseconds: the
+// time since the last data as TCP reports it, but at most the time for which no connection could be accepted.
 Millis Listener::waited_for_accept(tcp::socket& socket) {
     const Millis max_wait = accept_delay_.waited(context_.clock.now());
     if (max_wait <= 0) return 0;
@@ -125,8 +125,8 @@
 
 // ---- Deadlines
 
-// One timer for all connections: their timeouts need not be exact, and a timer each would cost more than the
-// requests.
+// One timer serves all connections: their timeouts need not be exact, and one timer per connection would cost
+// more than the requests themselves.
 void Listener::schedule_deadline_check() {
     context_.loop_delay.expect_check(
         context_.clock.now() + std::chrono::duration<Millis, std::milli>(kDeadlineCheckInterval).count());
@@ -185,9 +185,9 @@
     return true;
 }
 
-// False if connections are or may be left in the queue. Only one of accept's errors means that the queue is
-// empty. The others concern one connection in it, or an interrupted call, and there may be more behind it.
-// The number of errors is bounded, as the caller tries again soon.
+// Returns false if connections may be left in the queue. Only EAGAIN/EWOULDBLOCK means that the queue is
+// empty. Any other error concerns one connection in the queue or an interrupted call, and further connections
+// may be behind it. The number of such errors is bounded, because the caller calls again soon.
 bool Listener::drain_accept_queue() {
     for (int failures = 0; failures < kAcceptQueueLength;) {
         error_code ec;
--- a/src/proxy/listener.hpp
+++ b/src/proxy/listener.hpp
@@ -1,5 +1,6 @@
 // Accepts clients' connections, bounds their number, and enforces the deadlines of their sessions
-// (client_session.hpp). Keeps new connections in the kernel's queue while there is no place or descriptor.
+// (client_session.hpp). Leaves new connections in the kernel's accept queue while the connection limit is
+// reached or no descriptor is free.
 #pragma once
 
 #include <functional>
@@ -19,37 +20,40 @@
     Listener(asio::io_context& io, const Clock& clock, BalancerDriver& driver, Limits limits);
     ~Listener();
 
-    /// Throws ConfigError if the address is taken, boost::system::system_error on other errors.
+    /// Throws ConfigError if the address is in use, boost::system::system_error on other errors.
     void listen(const tcp::endpoint& address);
     tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
-    /// From now on /healthz answers 200 while there is an endpoint list.
+    /// From now on the response to /healthz is 200 while there is an endpoint list.
     void open_for_use() { context_.ready_for_use = true; }
 
-    /// Limits below what is in use end no request: idle connections are closed and no new ones are accepted.
+    /// Lowering a limit below the current use ends no request: idle connections are closed and no new
+    /// connections are accepted.
     void set_limits(const Limits& limits) {
         context_.limits = limits;
         accept();
     }
-    /// Called with a request that is invalid by the configuration that it began with.
+    /// Called with each request that is invalid under its configuration, and with that configuration.
     std::function<void(const ConfigSnapshotPtr&, const HttpRequest&)> on_invalid_request;
 
-    /// From now on each response closes its connection, and idle connections are closed; new ones are still
-    /// accepted. Requests that arrive from now on end by `deadline` (Clock milliseconds).
+    /// Starts the drain: closes idle connections, and from now on each connection after its response. New
+    /// connections are still accepted. Requests that arrive from now on end by `deadline` (Clock
+    /// milliseconds).
     void drain(Millis deadline);
-    /// Answers requests that have not arrived completely with 408.
+    /// Rejects requests that have not arrived completely, with 408.
     void reject_incomplete();
-    /// Closes the connections that have no request, neither here nor in the kernel.
+    /// Closes the connections that have no request, neither read nor unread in the kernel.
     void close_idle();
-    /// Accepts what waits in the kernel's queue, then closes the listening socket. False if connections are
-    /// left in the queue, for want of a descriptor; to be called again then.
+    /// Accepts the connections in the kernel's accept queue, then closes the listening socket. Returns false
+    /// if connections may be left in the queue, above all because no descriptor is free; the caller then has
+    /// to call it again.
     bool stop_accepting();
-    /// Whether there are connections.
+    /// Whether there are client connections.
     bool busy() const { return !context_.sessions.empty(); }
     std::size_t connections() const { return context_.sessions.size(); }
     const CloseCounts& closes() const { return context_.closes; }
-    /// Whether a request has arrived in part.
+    /// Whether any request has arrived only in part.
     bool reading() const;
-    /// Applies all sessions' deadlines; also runs by itself every 50 ms.
+    /// Enforces the deadlines of all sessions; a timer also calls it every 50 ms.
     void check_deadlines();
 
 private:
@@ -70,7 +74,7 @@
     asio::steady_timer deadline_timer_;
     UnreadTime accept_delay_;
     bool accepting_ = false;  // an accept is pending, or must not be started now
-    bool paused_ = false;     // for want of descriptors
+    bool paused_ = false;     // after a shortage of descriptors or memory
     bool stopped_ = false;
 };
 
--- a/src/proxy/listener_context.hpp
+++ b/src/proxy/listener_context.hpp
@@ -1,5 +1,5 @@
-// What the client sessions of one listener share with each other and with it: limits, the sessions
-// themselves, the ids of requests being served, the memory for bodies, and the state of a drain.
+// State that a listener and its client sessions share: limits, the sessions, the ids of requests being
+// served, the memory for bodies, and the state of a drain.
 #pragma once
 
 #include <algorithm>
@@ -22,13 +22,13 @@
 
 struct ListenerLimits {
     std::size_t connections = 400;
-    std::size_t body_bytes = 16 << 20;  // bodies and pipelined bytes of all requests together
+    std::size_t body_bytes = 16 << 20;  // for bodies and pipelined bytes of all sessions together
 };
 
-/// How late the event loop is. Updated by the listener's periodic check of deadlines.
+/// Measures how late the event loop runs, by the listener's periodic deadline check.
 class LoopDelay {
 public:
-    /// The next periodic check is due at `at`.
+    /// The next periodic check is due at `at` (Clock milliseconds).
     void expect_check(Millis at) { next_check_ = at; }
     /// The check that was due has run at `now`.
     void check_ran(Millis now) {
@@ -43,7 +43,7 @@
     }
 
 private:
-    // A check that is later than this means that the loop did not run.
+    // Milliseconds. A check that is late by more than this shows that the loop did not run in between.
     static constexpr Millis kTolerance = 20;
     UnreadTime unread_;
     Millis next_check_ = 0;
@@ -54,7 +54,7 @@
     const Clock& clock;
     BalancerDriver& driver;
     ListenerLimits limits;
-    std::function<void()> accept_next;  // there may be a free place for a waiting connection
+    std::function<void()> accept_next;  // called when a waiting connection may be accepted
     std::function<void(const ConfigSnapshotPtr&, const HttpRequest&)> report_invalid_request;
 
     SessionList sessions{};  // least recently used first
@@ -64,11 +64,11 @@
     LoopDelay loop_delay{};
     bool ready_for_use = false;
     bool draining = false;
-    Millis drain_deadline = 0;  // of requests that arrive while draining
+    Millis drain_deadline = 0;  // of requests that arrive while draining, Clock milliseconds
 
-    /// So many sessions that no connection is kept open after its response.
+    /// Whether so many sessions exist that each connection is closed after its response.
     bool nearly_full() const { return sessions.size() * 8 > limits.connections * 7; }
-    /// What /healthz answers.
+    /// Whether /healthz reports ready.
     bool ready() const { return ready_for_use && !draining && driver.has_endpoints(); }
     Millis loop_waited() { return loop_delay.waited(clock.now()); }
     void remove(SessionList::iterator position) {
--- a/src/proxy/pending_request.hpp
+++ b/src/proxy/pending_request.hpp
@@ -1,4 +1,5 @@
-// One client request while it is being served, or while attempts of it are still in flight.
+// A client request while it is being served or attempts of it are still in flight, and the interface to its
+// client.
 #pragma once
 
 #include <memory>
@@ -12,14 +13,14 @@
 
 namespace ochregrade::sidecar {
 
-/// The connection on which a request arrived and that awaits its response.
+/// The client connection on which a request arrived and to which its final response is sent.
 class Client {
 public:
     virtual ~Client() = default;
-    /// Called exactly once for each request, unless the client has disconnected.
+    /// Sends the final response. Called exactly once for each request, unless the client has disconnected.
     virtual void answer(HttpResponse response) = 0;
-    /// Reports the disconnect (BalancerDriver::client_disconnected) at once if the client has left and that
-    /// has not been noticed yet.
+    /// Checks the connection. If the client has disconnected unnoticed, this is reported at once
+    /// (BalancerDriver::client_disconnected).
     virtual void check_disconnected() = 0;
 };
 
@@ -27,9 +28,9 @@
     std::string correlation_id;
     RequestPtr message;
     std::weak_ptr<Client> client;
-    ConfigSnapshotPtr snapshot;   // the configuration that the request began with
+    ConfigSnapshotPtr snapshot;   // the configuration in force at the request's last byte
     std::uint32_t in_flight = 0;  // attempts
-    bool ended = false;           // answered, or its client has disconnected
+    bool ended = false;           // the final response was sent, or the client has disconnected
     RequestFacts facts;
     std::optional<Outcome> last_outcome;  // of the attempt that ended last
 };
--- a/src/proxy/pipelined_requests.hpp
+++ b/src/proxy/pipelined_requests.hpp
@@ -1,6 +1,6 @@
-// The complete requests that a client has sent ahead on a connection (HTTP/1.1 pipelining), and their
+// The complete requests that a client has pipelined (HTTP/1.1) behind the request being served, and their
 // deadlines. Responses are sent in the order of the requests (RFC 9112, 9.3.2), so the request being served
-// delays all of them.
+// delays all pipelined requests.
 #pragma once
 
 #include <deque>
@@ -12,20 +12,20 @@
 
 namespace ochregrade::sidecar {
 
-/// X-Time-Left of each complete request in `bytes`, milliseconds, in their order; infinite for a request that
-/// has no valid one. Stops at a chunked request.
+/// X-Time-Left of each complete request in `bytes`, in milliseconds and in the order of the requests;
+/// infinity for a request without a valid X-Time-Left. Parsing stops at a chunked request.
 std::vector<Millis> deadlines_of_complete_requests(asio::const_buffer bytes);
 
 class PipelinedRequests {
 public:
-    /// `bytes` is all that was received ahead. Requests that were not complete before arrived at
-    /// `arrived_at`.
+    /// Adds the requests that have become complete. `bytes`: all pipelined bytes received so far.
+    /// `arrived_at`: the arrival time of the requests that are added, Clock milliseconds.
     void update(asio::const_buffer bytes, Millis arrived_at);
-    /// The first of them is being served now.
+    /// Removes the first pipelined request, because it is being served now.
     void begin_next();
     void clear() { deadlines_.clear(); }
 
-    /// The earliest deadline; none if there is no request with a deadline.
+    /// The earliest deadline, Clock milliseconds; none if no pipelined request has a deadline.
     std::optional<Millis> first_deadline() const;
 
 private:
--- a/src/proxy/request_validation.cpp
+++ b/src/proxy/request_validation.cpp
@@ -13,7 +13,7 @@
     const char* end = nullptr;  // the first character after the number
 };
 
-// A finite number, not negative, at the start of the text.
+// Parses a finite, non-negative number at the start of the text.
 std::optional<ParsedNumber> parse_number(beast::string_view text) {
     ParsedNumber number;
     const auto parsed = std::from_chars(text.data(), text.data() + text.size(), number.value);
@@ -28,7 +28,7 @@
     return request.count(name) == 1 && !request[name].empty();
 }
 
-// Visible ASCII characters only.
+// Whether the text consists of visible ASCII characters only.
 bool is_graphic(beast::string_view text) {
     return std::all_of(text.begin(), text.end(), [](char c) { return c > 0x20 && c < 0x7f; });
 }
@@ -57,7 +57,7 @@
     return request.count("Idempotency-Key") == 0;
 }
 
-// The first segment of the path is the class.
+// The first segment of the path must be the name of the class.
 bool has_valid_path(const HttpRequest& request, const std::string& class_name) {
     auto path = request.target();
     if (!is_graphic(path) || path.empty() || path.front() != '/') return false;
--- a/src/proxy/rule_guard.hpp
+++ b/src/proxy/rule_guard.hpp
@@ -1,7 +1,8 @@
-// The last check before an action that a rule of the protocol may forbid: a send, a retry, a close, an
-// answer, or reporting ready. It decides by facts that the caller passes at that moment, not by the state
-// that led to the decision. So an event between a decision and its execution is caught here, and a wrong
-// decision shows as a counted violation instead of a broken rule (docs/RULES.md). No sockets and no clock.
+// The last check before an action that a rule of the protocol may forbid: a send, a retry, a close, a final
+// response, or reporting ready. The guard decides by facts that the caller passes at that moment, not by the
+// state that led to the decision. Therefore the guard catches an event between a decision and its execution,
+// and a wrong decision shows as a counted violation instead of a broken rule (docs/RULES.md). Uses no sockets
+// and no clock.
 #pragma once
 
 #include <array>
@@ -17,13 +18,13 @@
 
 /// Why an attempt is withheld: not written to its endpoint.
 enum class Withheld : std::size_t {
-    // Something happened since the decision; no rule would have been broken by the decision itself.
+    // An event after the decision forbids the send; the decision itself broke no rule.
     client_disconnected,
     answered,
     deadline_passed,
     server_not_serving,
     key_window_over,
-    // The decision itself would have broken a rule: also counted as a violation.
+    // The decision itself would have broken a rule; it is also counted as a violation.
     may_have_run,
     key_out_of_scope,
     attempts_exhausted,
@@ -34,8 +35,8 @@
 /// A rule that was broken, or would have been without this guard.
 enum class Violation : std::size_t {
     repeat,               // an attempt that might have run a request twice (`duplicate`)
-    closed_unanswered,    // a request was read and its connection closed here without an answer (`lost`)
-    answered_late,        // the final answer came later than kAnswerGrace after the deadline (`lost`)
+    closed_unanswered,    // the sidecar read a request and closed its connection without a response (`lost`)
+    answered_late,        // the final response came more than kAnswerGrace after the deadline (`lost`)
     rejected_after_run,   // a rejection of a request that may have run
     deadline_overstated,  // the deadline sent to an endpoint exceeds the client's by more than kDeadlineSlack
     unready_start,        // reported ready without an endpoint list
@@ -45,22 +46,22 @@
 /// The labels in /metrics and the trace.
 std::string_view to_string(Withheld reason);
 std::string_view to_string(Violation violation);
-/// Whether the decision to send was itself wrong.
+/// Whether the decision to send would have broken a rule.
 bool is_violation(Withheld reason);
 
-/// One attempt of a request, as far as it matters for the next one.
+/// The facts about one attempt that matter for further attempts of its request.
 struct AttemptFacts {
     EndpointId endpoint = 0;
     ZoneId zone = 0;
     std::uint32_t cell = 0;
-    Millis sent_at = 0;  // when the decision was made, before any byte was written
+    Millis sent_at = 0;  // time of the decision, before any byte was written; Clock milliseconds
     bool in_flight = true;
-    bool may_have_run = false;  // known when it has ended; an attempt in flight may always have run
+    bool may_have_run = false;  // valid once the attempt has ended; an attempt in flight may always have run
 };
 
 struct RequestFacts {
     RequestClass kind;
-    Millis deadline = 0;  // the client's, counted from when the last byte was read
+    Millis deadline = 0;  // the client's, fixed when the last byte was read; Clock milliseconds
     std::uint32_t max_attempts = 0;
     bool hedging_allowed = false;
     bool client_disconnected = false;
@@ -69,7 +70,7 @@
 };
 
 struct EndpointFacts {
-    bool serving = false;  // listed, and neither draining nor gone
+    bool serving = false;  // listed, and neither draining nor removed
     ZoneId zone = 0;
     std::uint32_t cell = 0;
 };
@@ -86,18 +87,20 @@
         std::uint64_t all_violations() const;
     };
 
-    /// Why attempt `number` of the request may not be written to this endpoint now; none if it may.
+    /// The reason why attempt `number` of the request must not be written to this endpoint now; none if the
+    /// attempt may be written.
     std::optional<Withheld> check_send(const RequestFacts& request, std::size_t number,
                                        const EndpointFacts& endpoint, Millis now);
     /// Whether the request may be rejected, which promises the client that a retry is harmless.
     bool check_rejection(const RequestFacts& request, Millis now);
-    /// A final answer is about to be written.
+    /// Called before a final response is written; both times are Clock milliseconds.
     void check_answer(Millis deadline, Millis now);
-    /// An attempt is about to tell its endpoint the deadline `propagated`; `deadline` is the client's.
+    /// Called before an attempt is sent with the deadline `propagated`; `deadline` is the client's.
     void check_propagated_deadline(Millis propagated, Millis deadline);
-    /// A client's connection is about to be closed; `unanswered`: a request was read and has no answer yet.
+    /// Called before a client's connection is closed. `unanswered`: a request was read and has no final
+    /// response yet.
     void check_close(bool unanswered, bool client_disconnected);
-    /// /healthz is about to report ready.
+    /// Called before /healthz reports ready.
     void check_ready(bool has_endpoints);
 
     const Counts& counts() const { return counts_; }
--- a/src/proxy/timer_queue.hpp
+++ b/src/proxy/timer_queue.hpp
@@ -1,4 +1,4 @@
-// Pending timeouts of attempts and timers of the balancer, in the order in which they are due. No clock.
+// Pending timeouts of attempts and timers of the balancer, in the order in which they are due. Uses no clock.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 public:
     struct Timer {
         Millis at = 0;                      // Clock milliseconds
-        std::optional<AttemptKey> attempt;  // its timeout; if none, the balancer's timer `token`
+        std::optional<AttemptKey> attempt;  // the attempt that times out; none: balancer's timer `token`
         TimerToken token = 0;
     };
 
@@ -28,9 +28,9 @@
         timers_.push({{at, std::nullopt, token}, Priority::balancer, next_order_++});
     }
     bool empty() const { return timers_.empty(); }
-    /// When the first one is due; the queue must not be empty.
+    /// When the first timer is due, Clock milliseconds; the queue must not be empty.
     Millis first_due() const { return timers_.top().timer.at; }
-    /// Removes and returns the first one; the queue must not be empty.
+    /// Removes and returns the first timer; the queue must not be empty.
     Timer pop() {
         const Timer timer = timers_.top().timer;
         timers_.pop();
@@ -38,13 +38,13 @@
     }
 
 private:
-    // An attempt's timeout comes before a timer for the same moment: a request that ends at its deadline has
-    // then seen how its attempt ended.
+    // An attempt's timeout precedes a balancer timer of the same time, so that the outcome of an attempt is
+    // known before its request ends at the deadline.
     enum class Priority { attempt, balancer };
     struct Entry {
         Timer timer;
         Priority priority = Priority::attempt;
-        std::uint64_t order = 0;  // of being added
+        std::uint64_t order = 0;  // order of insertion
         bool operator>(const Entry& other) const {
             return std::tie(timer.at, priority, order) >
                    std::tie(other.timer.at, other.priority, other.order);
--- a/src/proxy/unread_time.hpp
+++ b/src/proxy/unread_time.hpp
@@ -1,6 +1,6 @@
-// How long bytes that are read now may have been waiting in the kernel while nothing read them: the process
-// was paused, or had no descriptor to accept with. The time of a request runs from its arrival, which the
-// kernel does not report; this is an upper bound of it. All times are Clock milliseconds.
+// Upper bound of the time for which bytes that are read now have been unread in the kernel, because the
+// process was paused or had no descriptor to accept their connection. A request's time left runs from its
+// arrival, which the kernel does not report, so this bound is used instead. All times are Clock milliseconds.
 #pragma once
 
 #include <algorithm>
@@ -12,15 +12,15 @@
 
 class UnreadTime {
 public:
-    /// All that had been waiting is read this long after reading resumed.
+    /// Milliseconds after reading resumed within which all bytes that had been waiting are read.
     static constexpr Millis kCatchUp = 50;
 
-    /// Nothing has been read since `since`.
+    /// Reading has been blocked since `since`.
     void blocked(Millis since) {
         if (!since_) since_ = since;
         resumed_.reset();
     }
-    /// Reading resumes.
+    /// Reading has resumed at `now`.
     void resumed(Millis now) {
         if (since_ && !resumed_) resumed_ = now;
     }
--- a/src/proxy/upstream_connection.cpp
+++ b/src/proxy/upstream_connection.cpp
@@ -11,18 +11,20 @@
 
 constexpr std::size_t kReadSize = 4096;
 constexpr int kMaxInterimResponses = 16;
-// What the kernel holds unread counts as memory, and an endless response fills it at once.
+// Receive buffer of an upstream connection, bytes. Unread bytes in the kernel count towards the process's
+// memory, and an endless response fills the buffer at once.
 constexpr int kUpstreamReceiveBuffer = 64 * 1024;
 
-// Subtracted from the time that an endpoint is told, at most this share of it.
+// Milliseconds subtracted from the time left that is sent to an endpoint, but at most this share of the time
+// left.
 constexpr Millis kDeadlineMargin = 25;
 constexpr double kDeadlineMarginShare = 0.1;
 
-// How often connecting is retried after an error of this machine: for 0.1 s.
+// How often connecting is retried after a local error (is_local_error()): for 0.1 s.
 constexpr int kMaxConnectRetries = 10;
 constexpr std::chrono::milliseconds kConnectRetryInterval{10};
 
-// Errors of connect and socket that are this machine's: no port, buffer, descriptor or route, a local
+// Whether connect() or socket() failed because of this machine: no port, buffer, descriptor or route, a local
 // firewall, or a signal.
 bool is_local_error(error_code ec) {
     constexpr int kLocalErrors[] = {EADDRNOTAVAIL, EADDRINUSE,  EAGAIN,   ENOBUFS, ENOMEM, EMFILE,
@@ -80,7 +82,7 @@
 
 void UpstreamConnection::start_connect_timer() {
     const Millis give_up = std::min(clock_.now() + exchange_->connect_timeout, exchange_->deadline);
-    // A connect that was given less than its timeout shows nothing about the endpoint.
+    // A connect that had less time than the connect timeout shows nothing about the endpoint.
     const Outcome outcome =
         exchange_->write_deadline < give_up ? Outcome::not_sent : Outcome::connect_failure;
     timer_.expires_at(clock_.point(std::min(give_up, exchange_->write_deadline)));
@@ -96,12 +98,12 @@
     if (!ec) socket_.set_option(tcp::no_delay(true), ec);
     if (!ec) socket_.non_blocking(true, ec);
     if (!ec) socket_.set_option(asio::socket_base::receive_buffer_size(kUpstreamReceiveBuffer), ec);
-    if (ec) return retry_connect();  // above all: no descriptor
+    if (ec) return retry_connect();  // above all because no descriptor is free
     socket_.async_connect(
         address_, [this, self = shared_from_this()](error_code connect_ec) { on_connected(connect_ec); });
 }
 
-// This machine could not connect, which says nothing about the endpoint. Such a shortage is often short.
+// A local error shows nothing about the endpoint and often ends soon, so the connect is retried.
 void UpstreamConnection::retry_connect() {
     if (++connect_retries_ > kMaxConnectRetries) return end(Outcome::not_sent);
     error_code ignored;
@@ -125,8 +127,8 @@
 
 // ---- Writing
 
-// Milliseconds: what is left now, less a margin. The slack that the protocol gives is as long as this process
-// may be delayed before its write, and leaves nothing for the network.
+// The time left now in milliseconds, less a margin for the network: the slack that the protocol allows is
+// only as long as this process may be delayed before its write.
 Millis UpstreamConnection::propagated_time_left() const {
     const Millis left = std::max(0.0, exchange_->deadline - clock_.now());
     return left - std::min(kDeadlineMargin, left * kDeadlineMarginShare);
@@ -137,7 +139,7 @@
     state_ = State::writing;
     HttpRequest& message = *exchange_->request;
     if (!exchange_->is_probe) {
-        // Whole milliseconds would round a short time to nothing.
+        // In whole milliseconds, a short time left would be rounded to 0.
         const auto microseconds = static_cast<long long>(propagated_time_left() * 1000);
         message.set("X-Time-Left", std::to_string(microseconds) + "u");
     }
@@ -146,11 +148,12 @@
     write_available_bytes();
 }
 
-// Synchronously: nearly every request fits the kernel's buffer, and how much was written is known at once.
+// Writes synchronously: nearly every request fits into the kernel's buffer, and the number of bytes written
+// is known at once.
 void UpstreamConnection::write_available_bytes() {
     const Transfer transfer = write_available(socket_, asio::buffer(output_) + written_bytes_);
     written_bytes_ += transfer.bytes;
-    // An endpoint begins a request with its last byte: short of that, it never ran.
+    // An endpoint starts a request when its last byte has arrived: before that, the request never ran.
     if (transfer.error) return end(Outcome::connect_failure);
     if (written_bytes_ == output_.size()) return begin_response();
     socket_.async_wait(tcp::socket::wait_write,
@@ -184,7 +187,7 @@
     }
     const unsigned status = parser_->get().result_int();
     if (status / 100 != 1) return on_response();
-    // An interim response: another one follows, in bounded number.
+    // An interim (1xx) response is followed by another response. The number of interim responses is bounded.
     if (status == 101 || ++interim_responses_ > kMaxInterimResponses) return end(Outcome::connection_reset);
     begin_response();
 }
@@ -197,21 +200,22 @@
 
 void UpstreamConnection::on_received(error_code ec, std::size_t size) {
     if (state_ != State::reading) return;
-    // A response without a length is complete when its endpoint ends the connection; a reset may have cut it.
+    // A response without a length is complete when its endpoint closes the connection. After a reset, the
+    // response may be incomplete.
     if (ec == asio::error::eof && parser_->is_header_done() && parser_->need_eof()) parser_->put_eof(ec);
     if (ec) return end(Outcome::connection_reset);
     try {
         input_.commit(size);
         parse();
     } catch (const std::exception& error) {
-        // An error of one response must not affect the others.
+        // An error of one response must not affect other responses.
         log_line(std::string("upstream response failed: ") + error.what());
         if (exchange_) end(Outcome::connection_reset);
     }
 }
 
 void UpstreamConnection::on_response() {
-    // Bytes behind the response belong to no request: such a connection is not used again.
+    // Bytes behind the response belong to no request, so such a connection is not reused.
     const bool reusable = parser_->keep_alive() && input_.size() == 0;
     HttpResponse response = parser_->release();
     parser_.reset();
@@ -227,7 +231,7 @@
     interim_responses_ = 0;
     if (input_.capacity() > kReadSize) input_.shrink_to_fit();
     socket_.async_wait(tcp::socket::wait_read, [this, self = shared_from_this()](error_code) {
-        // Whether it has ended or something has come unasked, it cannot be used again.
+        // The connection cannot be reused if the endpoint has closed it or has sent unexpected bytes.
         if (state_ == State::idle && !is_usable()) owner_.close_connection(self, CloseReason::peer_closed);
     });
 }
--- a/src/proxy/upstream_connection.hpp
+++ b/src/proxy/upstream_connection.hpp
@@ -1,6 +1,6 @@
 // One connection to an upstream endpoint: connects, writes a request, reads its response, one exchange at a
-// time. It reports how each exchange ended, above all whether the endpoint may have run the request, and
-// never sends a request twice.
+// time. The connection reports how each exchange ended, above all whether the endpoint may have run the
+// request, and never sends a request twice.
 #pragma once
 
 #include <limits>
@@ -19,49 +19,49 @@
 struct AttemptKey {
     RequestId id = 0;
     std::uint32_t attempt = 0;
-    // The check takes the generated comparison with 0 for a null pointer.
+    // clang-tidy mistakes the 0 in the generated comparison for a null pointer.
     auto operator<=>(const AttemptKey&) const = default;  // NOLINT(modernize-use-nullptr)
 };
 
 /// A request to be written to an endpoint, and its time limits (Clock milliseconds).
 struct Exchange {
-    AttemptKey key;  // of an attempt
+    AttemptKey key;  // attempts only
     bool is_probe = false;
     RequestPtr request;
     Millis started_at = 0;
-    Millis deadline = 0;                                              // of the response
-    Millis write_deadline = std::numeric_limits<Millis>::infinity();  // of the request's last byte
+    Millis deadline = 0;                                              // for the whole response
+    Millis write_deadline = std::numeric_limits<Millis>::infinity();  // for the request's last byte
     Millis connect_timeout = 0;                                       // milliseconds; attempts only
 };
 
 class UpstreamConnection;
 using UpstreamConnectionPtr = std::shared_ptr<UpstreamConnection>;
 
-/// The connections to one endpoint while it is listed with this address and start.
+/// The connections to one endpoint while its address and process stay the same.
 struct ConnectionGroup {
     std::vector<UpstreamConnectionPtr> idle;  // the most recently used last
-    std::size_t connections = 0;              // all of them
-    bool withdrawn = false;                   // none is used again
+    std::size_t connections = 0;              // all connections of the group
+    bool withdrawn = false;                   // its connections are not reused
 };
 
 class UpstreamConnection : public std::enable_shared_from_this<UpstreamConnection> {
 public:
     enum class State { connecting, writing, reading, idle, closed };
 
-    /// Decides about the connection. Must outlive the running of the event loop: pending handlers of a
-    /// connection refer to it.
+    /// Decides about the connection. The owner must exist until the event loop has stopped, because pending
+    /// handlers of a connection refer to the owner.
     class Owner {
     public:
         virtual ~Owner() = default;
         /// Called when the connection is established, and before each further part of a request that the
-        /// kernel did not take at once (`partly_written`). False: nothing more of it is written, and the
-        /// exchange has been ended.
+        /// kernel did not accept at once (`partly_written`). Returns false if no more of the request may be
+        /// written; the owner has then ended the exchange.
         virtual bool may_write(const UpstreamConnectionPtr& connection, bool partly_written) = 0;
-        /// The exchange has ended; `response` only where there is one. `reusable`: the connection may be used
-        /// for another.
+        /// Ends the current exchange. `response`: null unless the endpoint has sent a complete one.
+        /// `reusable`: the connection may be used for another exchange.
         virtual void end_exchange(const UpstreamConnectionPtr& connection, Outcome outcome,
                                   HttpResponse* response, bool reusable) = 0;
-        /// An idle connection is of no further use.
+        /// Closes an idle connection that cannot or should not be reused.
         virtual void close_connection(const UpstreamConnectionPtr& connection, CloseReason reason) = 0;
     };
 
@@ -74,9 +74,9 @@
     bool is_in(const std::shared_ptr<ConnectionGroup>& group) const { return group_ == group; }
     State state() const { return state_; }
     Millis idle_since() const { return idle_since_; }
-    /// None while idle or closed.
+    /// The current exchange; null while idle or closed.
     const Exchange* exchange() const { return exchange_.get(); }
-    /// Whether nothing has come on an idle connection and it has not ended.
+    /// Whether an idle connection is open and has received no bytes.
     bool is_usable() { return peek(socket_) == SocketState::quiet; }
 
     void set_exchange(std::unique_ptr<Exchange> exchange);
@@ -85,7 +85,7 @@
     void write_request();
 
     void become_idle();
-    /// Closes the connection at `at` unless it is used before.
+    /// Closes the connection at `at` (Clock milliseconds) unless it is used before.
     void close_idle_at(Millis at);
     void stop_idle_timer() { timer_.cancel(); }
     void close();
@@ -112,8 +112,7 @@
     tcp::endpoint address_;
     std::shared_ptr<ConnectionGroup> group_;
     tcp::socket socket_;
-    asio::steady_timer
-        timer_;  // connecting, probes and idle time; an attempt's deadline is kept by the driver
+    asio::steady_timer timer_;  // connecting, probes and idle time; the driver keeps attempts' deadlines
     asio::steady_timer connect_retry_timer_;
     int connect_retries_ = 0;
     State state_ = State::connecting;
--- a/src/proxy/upstream_pool.cpp
+++ b/src/proxy/upstream_pool.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-// An idle connection is closed this long before its endpoint would close it, at most this share of the time.
+// An idle connection is closed this many milliseconds before its endpoint would close it, but at most this
+// share of the idle timeout before.
 constexpr Millis kIdleMargin = 1000;
 constexpr Millis kIdleMarginShare = 4;  // 1 / share
 
@@ -36,7 +37,8 @@
     : io_(io), clock_(clock), limits_(limits), handlers_(std::move(handlers)) {}
 
 UpstreamPool::~UpstreamPool() {
-    for (const auto& [id, group] : groups_) group->idle.clear();  // a connection holds its group
+    // Breaks the reference cycle: an idle connection owns its group.
+    for (const auto& [id, group] : groups_) group->idle.clear();
 }
 
 // ---- Attempts and probes
@@ -60,7 +62,7 @@
     exchange->is_probe = true;
     exchange->request = std::move(request);
     exchange->started_at = clock_.now();
-    exchange->deadline = exchange->started_at + limits_.connect_timeout;  // slower is not healthy
+    exchange->deadline = exchange->started_at + limits_.connect_timeout;  // a slower endpoint is unhealthy
     start(std::move(exchange), endpoint, address);
 }
 
@@ -72,7 +74,8 @@
     if (!exchange->is_probe) attempts_[exchange->key] = connection;
     connection->set_exchange(std::move(exchange));
     if (reused) return connection->write_request();
-    // No descriptor to spare: the request is never sent, which says nothing about the endpoint.
+    // At the connection limit no descriptor may be used: the request is never sent, which shows nothing about
+    // the endpoint.
     if (open_ > limits_.connections) return end_unanswered(connection, Outcome::not_sent);
     connection->connect();
 }
@@ -80,7 +83,7 @@
 bool UpstreamPool::may_write(const ConnectionPtr& connection, bool partly_written) {
     if (!handlers_.may_write) return true;
     const bool allowed = handlers_.may_write(connection->exchange()->key, partly_written);
-    if (connection->state() == Connection::State::closed) return false;  // withdrawn by the handler
+    if (connection->state() == Connection::State::closed) return false;  // the handler has withdrawn it
     if (!allowed) end_unanswered(connection, Outcome::not_sent);
     return allowed;
 }
@@ -89,8 +92,8 @@
                                 bool reusable) {
     const bool keep = reusable && !connection->group().withdrawn;
     const std::unique_ptr<Exchange> exchange = connection->release_exchange();
-    // The connection is closed before the outcome is reported, so that no next attempt is in flight beside
-    // it.
+    // The connection is closed before the outcome is reported, so that a retry does not overlap with this
+    // attempt.
     if (keep && open_ <= limits_.connections)  // the limit may have been lowered
         return_to_pool(connection);
     else
@@ -109,7 +112,7 @@
     const auto at = attempts_.find(key);
     if (at == attempts_.end()) return;
     const ConnectionPtr connection = at->second;
-    // An endpoint begins a request with its last byte.
+    // An endpoint starts a request when its last byte has arrived.
     const bool written = connection->state() == Connection::State::reading;
     end_unanswered(connection, written ? if_written : if_not_written);
 }
@@ -145,13 +148,14 @@
     return std::make_shared<Connection>(io_, clock_, owner, endpoint, address, group);
 }
 
-// The most recently used first: the older ones then reach their idle limit and are closed. A connection that
-// has ended or on which something has come unasked is not written to, since nothing may be sent twice to find
-// that out. One that has only just answered may still send more, which would be taken for the next response.
+// Takes the most recently used connection, so that older ones reach their idle limit and are closed. A
+// connection that the endpoint has closed or that has received unexpected bytes is not tried by writing to
+// it, because a request must not be sent twice. A connection whose last response has only just arrived is not
+// reused, because further bytes would be taken for the next response.
 UpstreamPool::ConnectionPtr UpstreamPool::take_idle(EndpointId endpoint, const tcp::endpoint& address) {
     const auto at = groups_.find(endpoint);
     if (at == groups_.end()) return nullptr;
-    const GroupPtr group = at->second;  // it is removed with its last connection
+    const GroupPtr group = at->second;  // removed from groups_ with its last connection
     const Millis now = clock_.now();
     const Millis quiet_since = now - limits_.quiet_period;
     for (std::size_t i = group->idle.size(); i-- > 0;) {
@@ -175,7 +179,8 @@
     connection->close_idle_at(idle_deadline(*connection));
 }
 
-// Well before the endpoint closes it: a request written to a connection that it has closed is lost.
+// The deadline is well before the endpoint closes the connection: a request written to a closed connection is
+// lost.
 Millis UpstreamPool::idle_deadline(const Connection& connection) const {
     return connection.idle_since() + limits_.idle_timeout -
            std::min(kIdleMargin, limits_.idle_timeout / kIdleMarginShare);
--- a/src/proxy/upstream_pool.hpp
+++ b/src/proxy/upstream_pool.hpp
@@ -1,5 +1,5 @@
-// Connections to upstream endpoints: reuses idle ones, bounds their number, and executes attempts and probes
-// on them, each exactly once.
+// The connections to upstream endpoints: reuses idle connections, bounds their number, and executes each
+// attempt and probe exactly once.
 #pragma once
 
 #include <functional>
@@ -16,18 +16,19 @@
 
 namespace ochregrade::sidecar {
 
-/// Must outlive the running of the event loop.
+/// The pool must exist until the event loop has stopped.
 class UpstreamPool : private UpstreamConnection::Owner {
 public:
     struct Limits {
         Millis connect_timeout = 1000;
         Millis idle_timeout = 15000;  // endpoints close connections that have been idle this long
         std::size_t connections = 400;
-        Millis quiet_period = 2;  // a connection is not used again sooner after its last response
+        Millis quiet_period = 2;  // a connection is not reused within this time after its last response
     };
-    /// May be called from within send(), cancel() and the like: they must only record what happened.
+    /// Handlers may be called from within send(), cancel() and other functions of the pool. They record what
+    /// happened, may withdraw attempts, and must not start attempts or probes.
     struct Handlers {
-        /// The response is null unless the endpoint has sent one.
+        /// The response is null unless the endpoint has sent a complete one.
         std::function<void(AttemptKey, Outcome, HttpResponse*)> attempt_ended;
         std::function<void(EndpointId, Outcome, Millis duration)> probe_ended;
         /// See UpstreamConnection::Owner::may_write.
@@ -37,27 +38,30 @@
     UpstreamPool(asio::io_context& io, const Clock& clock, Limits limits, Handlers handlers);
     ~UpstreamPool() override;
 
-    /// Writes the request completely before `write_deadline` or not at all. Without `connect_timeout` that of
-    /// the limits holds. The caller ends the attempt at `deadline` (expire()).
+    /// Starts an attempt. The request's last byte is written before `write_deadline` or never. Without
+    /// `connect_timeout`, the connect timeout of the limits applies. The caller must end the attempt at
+    /// `deadline` with expire(). `deadline` and `write_deadline` are Clock milliseconds.
     void send(AttemptKey key, EndpointId endpoint, const tcp::endpoint& address, RequestPtr request,
               Millis deadline, Millis write_deadline, std::optional<Millis> connect_timeout = {});
-    /// Its deadline has passed: a timeout, or a connect failure if its last byte has not been written (then
-    /// it never ran).
+    /// Ends an attempt whose deadline has passed. The outcome is a timeout, or a connect failure if the
+    /// request's last byte has not been written (the request then never ran).
     void expire(AttemptKey key);
-    /// Ends an attempt: cancelled, or not sent if its last byte has not been written.
+    /// Ends an attempt. The outcome is `cancelled`, or `not_sent` if the request's last byte has not been
+    /// written.
     void cancel(AttemptKey key);
-    /// Ends the attempts of a request that have not been written completely.
+    /// Ends those attempts of a request that have not been written completely.
     void withdraw_request(RequestId id);
-    /// Ends the attempts to an endpoint that are still connecting (for an endpoint that drains, a request
-    /// begins with its first byte), and uses no connection to it again.
+    /// Ends the attempts to an endpoint that are still connecting, and reuses no connection to the endpoint.
+    /// An attempt of which the first byte was written may be completed at a draining endpoint.
     void withdraw_endpoint(EndpointId endpoint);
-    /// GET /healthz, within the connect timeout.
+    /// Sends GET /healthz. The response must arrive within the connect timeout.
     void probe(EndpointId endpoint, const tcp::endpoint& address);
     void close_idle(EndpointId endpoint);
-    /// Closes idle connections to the endpoint, and each other one when its exchange has ended.
+    /// Closes idle connections to the endpoint now, and each other connection when its exchange has ended.
     void retire(EndpointId endpoint);
 
-    /// Limits below what is in use end no exchange: idle connections are closed and no new ones opened.
+    /// Lowering a limit below the current use ends no exchange: idle connections are closed and no new
+    /// connections are opened.
     void set_limits(const Limits& limits);
 
     std::size_t open() const { return open_; }
--- a/src/proxy/zones.hpp
+++ b/src/proxy/zones.hpp
@@ -1,4 +1,4 @@
-// Numeric ids for the names of zones, unchanged for the life of the process.
+// Numeric ids for the names of zones; an id stays the same during a run.
 #pragma once
 
 #include <string>
@@ -10,11 +10,11 @@
 
 class Zones {
 public:
-    /// The zone's number; a name that has none gets the next one.
+    /// The zone's id; a new name gets the next free id.
     ZoneId number(const std::string& name);
 
 private:
-    // A bound on memory, whatever discovery sends: further names share one number.
+    // Bounds the memory used, whatever names discovery sends: names beyond this number share one id.
     static constexpr std::size_t kMaxZones = 1024;
     std::unordered_map<std::string, ZoneId> numbers_;
 };
