--- a/bench/guarantee_rows.py
+++ b/bench/guarantee_rows.py
@@ -151,7 +151,7 @@
     ),
     Guarantee(
         "waiting behind pipelined requests counts as time spent",
-        [Edit(SESSION, "if (input_.size() > 0) pipelined_since_ = request_began_;", "")],
+        [Edit(SESSION, "if (input_.size() > 0) pipelined_since_ = request_started_at_;", "")],
         PROXY_TESTS,
         "PropagatedDeadline.CountsTimeWhilePipelinedRequestWaits",
     ),
@@ -372,8 +372,8 @@
         [
             Edit(
                 CONNECTION,
-                "clock_.point(std::min(give_up, exchange_->write_deadline))",
-                "clock_.point(give_up)",
+                "clock_.point(std::min(connect_deadline, exchange_->write_deadline))",
+                "clock_.point(connect_deadline)",
             ),
             Edit(
                 CONNECTION,
@@ -740,7 +740,7 @@
         [
             Edit(
                 SESSION,
-                "std::max(request_began_ + kReadTimeout, now + kMinReadTimeout)",
+                "std::max(request_started_at_ + kReadTimeout, now + kMinReadTimeout)",
                 "now + kReadTimeout",
             )
         ],
--- a/src/proxy/balancer_driver.cpp
+++ b/src/proxy/balancer_driver.cpp
@@ -178,24 +178,24 @@
     if (!request || request->ended) return;
     ++totals_.failures[static_cast<std::size_t>(EndReason::pipelined_requests)];
     if (tracing()) trace("failed", *request, {{"reason", to_string(EndReason::pipelined_requests)}});
-    answer(id, *request, HttpResponse(http::status::bad_gateway, 11), totals_.failed);
+    send_final_response(id, *request, HttpResponse(http::status::bad_gateway, 11), totals_.failed);
     enqueue(ClientDisconnected{id});
     remove_request_if_done(id);
 }
 
-void BalancerDriver::answer(RequestId id, PendingRequest& request, HttpResponse response,
-                            std::uint64_t& total) {
+void BalancerDriver::send_final_response(RequestId id, PendingRequest& request, HttpResponse response,
+                                         std::uint64_t& total) {
     if (request.ended) return;
     request.ended = true;
     request.facts.answered = true;
-    rule_guard_.check_answer(request.facts.deadline, clock_.now());
+    rule_guard_.check_final_response(request.facts.deadline, clock_.now());
     --pending_requests_;
     ++total;
     if (tracing()) trace("answered", request, {{"status", response.result_int()}});
     // A forwarded 4xx concerns the request itself and shows nothing about the configuration.
     if (on_final_answer && &total != &totals_.forwarded_errors)
         on_final_answer(request.snapshot->version, &total == &totals_.served);
-    if (const auto client = request.client.lock()) client->answer(std::move(response));
+    if (const auto client = request.client.lock()) client->send_response(std::move(response));
     upstream_.withdraw_request(id);
 }
 
@@ -262,7 +262,8 @@
                                       bool request_error) {
     strip_hop_by_hop(response);
     response.erase("X-Backend-Load");
-    answer(id, request, std::move(response), request_error ? totals_.forwarded_errors : totals_.served);
+    send_final_response(id, request, std::move(response),
+                        request_error ? totals_.forwarded_errors : totals_.served);
 }
 
 void BalancerDriver::probe_ended(EndpointId id, Outcome outcome, Millis duration) {
--- a/src/proxy/balancer_driver.hpp
+++ b/src/proxy/balancer_driver.hpp
@@ -126,7 +126,8 @@
     void count_attempt(AttemptKey key, const PendingRequest& request);
     void remove_request_if_done(RequestId id);
     void release_endpoint(EndpointId id);
-    void answer(RequestId id, PendingRequest& request, HttpResponse response, std::uint64_t& total);
+    void send_final_response(RequestId id, PendingRequest& request, HttpResponse response,
+                             std::uint64_t& total);
     void trace(std::string_view event, const PendingRequest& request,
                std::initializer_list<std::pair<std::string_view, nlohmann::json>> details) const;
 
--- a/src/proxy/balancer_driver_actions.cpp
+++ b/src/proxy/balancer_driver_actions.cpp
@@ -77,7 +77,7 @@
     }
     ++totals_.rejections[static_cast<std::size_t>(action.reason)];
     if (tracing()) trace("refused", *request, {{"reason", to_string(action.reason)}});
-    answer(action.id, *request, std::move(response), totals_.rejected);
+    send_final_response(action.id, *request, std::move(response), totals_.rejected);
     remove_request_if_done(action.id);
 }
 
@@ -86,7 +86,7 @@
     if (!request) return;
     ++totals_.failures[static_cast<std::size_t>(action.reason)];
     if (tracing()) trace("failed", *request, {{"reason", to_string(action.reason)}});
-    answer(action.id, *request, HttpResponse(http::status::bad_gateway, 11), totals_.failed);
+    send_final_response(action.id, *request, HttpResponse(http::status::bad_gateway, 11), totals_.failed);
     remove_request_if_done(action.id);
 }
 
--- a/src/proxy/client_session.cpp
+++ b/src/proxy/client_session.cpp
@@ -28,7 +28,7 @@
 constexpr Millis kSlowGrace = 150;
 constexpr Millis kIdleGrace = 2000;
 // Milliseconds subtracted from the client's time left, so that the response arrives by the client's deadline.
-constexpr Millis kAnswerMargin = 5;
+constexpr Millis kResponseMargin = 5;
 
 http::status status_for(error_code ec) {
     if (ec == http::error::body_limit) return http::status::payload_too_large;
@@ -117,7 +117,7 @@
     state_since_ = context_.clock.now();
     if (context_.draining && is_quiet()) return close(CloseReason::draining);
     context_.sessions.splice(context_.sessions.end(), context_.sessions, position_);
-    if (input_.size() > 0) return begin_request();
+    if (input_.size() > 0) return start_reading_request();
     if (input_.capacity() > kClientReadSize) input_.shrink_to_fit();
     receive();
     context_.accept_next();  // this session may now be evicted
@@ -125,17 +125,17 @@
 
 // ---- Requests
 
-void ClientSession::begin_request() {
+void ClientSession::start_reading_request() {
     state_ = State::reading;
-    pipelined_.begin_next();
+    pipelined_.remove_first();
     const Millis now = context_.clock.now();
     // The request's time runs from its arrival, which may be earlier than now: the request may have been
     // pipelined, or unread while the process was paused or could not accept connections.
-    request_began_ =
+    request_started_at_ =
         pipelined_since_.value_or(now - std::max(std::exchange(waited_, 0), context_.loop_waited()));
     pipelined_since_.reset();
     account_pipelined(0);  // its body is reserved when its head is accepted
-    if (deadline_ == 0) deadline_ = std::max(request_began_ + kReadTimeout, now + kMinReadTimeout);
+    if (deadline_ == 0) deadline_ = std::max(request_started_at_ + kReadTimeout, now + kMinReadTimeout);
     parser_.emplace();
     parser_->header_limit(kMaxHeader);
     parser_->body_limit(kMaxBody);
@@ -195,10 +195,10 @@
     auto request = std::make_shared<HttpRequest>(parser_->release());
     parser_.reset();
     account_pipelined(input_.size());
-    if (input_.size() > 0) pipelined_since_ = request_began_;  // the next request came with this one
+    if (input_.size() > 0) pipelined_since_ = request_started_at_;  // the next request came with this one
     keep_alive_ = request->keep_alive();
     first_request_ = false;
-    if (health_check) return answer_health_check();
+    if (health_check) return respond_to_health_check();
     // The configuration in force at a request's last byte applies to the request. Trailers may have added
     // headers.
     const bool config_changed = snapshot_ != context_.driver.snapshot();
@@ -217,7 +217,7 @@
     forward(std::move(request));
 }
 
-void ClientSession::answer_health_check() {
+void ClientSession::respond_to_health_check() {
     const bool ready = context_.ready();
     if (ready) context_.driver.rule_guard().check_ready(context_.driver.has_endpoints());
     write(HttpResponse(ready ? http::status::ok : http::status::service_unavailable, 11), keep_alive_);
@@ -232,15 +232,15 @@
 }
 
 void ClientSession::forward(std::shared_ptr<HttpRequest> request) {
-    const Millis spent = context_.clock.now() - request_began_;
+    const Millis spent = context_.clock.now() - request_started_at_;
     const Millis left = time_left(*request);
     strip_hop_by_hop(*request);
     request->prepare_payload();
     state_ = State::waiting;
-    pipelined_.update(input_.data(), request_began_);
+    pipelined_.update(input_.data(), request_started_at_);
     deadline_ = deadline_for_pipelined();
     request_id_ =
-        context_.driver.request_arrived(std::move(request), std::max(0.0, left - spent - kAnswerMargin),
+        context_.driver.request_arrived(std::move(request), std::max(0.0, left - spent - kResponseMargin),
                                         weak_from_this(), std::move(snapshot_));
     receive();
 }
@@ -254,7 +254,7 @@
 
 // ---- Responses
 
-void ClientSession::answer(HttpResponse response) {
+void ClientSession::send_response(HttpResponse response) {
     if (state_ != State::waiting) return;  // the client has disconnected
     release_request();
     write(std::move(response), keep_alive_);
--- a/src/proxy/client_session.hpp
+++ b/src/proxy/client_session.hpp
@@ -41,7 +41,7 @@
     /// request is about to arrive.
     bool is_quiet();
 
-    void answer(HttpResponse response) override;
+    void send_response(HttpResponse response) override;
     void check_disconnected() override;
     void close(CloseReason reason);
 
@@ -66,12 +66,12 @@
     void drop_pipelined();
     Millis deadline_for_pipelined() const;
 
-    void begin_request();
+    void start_reading_request();
     void parse();
     bool accept_head();
     bool is_health_check() const;
     void handle_request();
-    void answer_health_check();
+    void respond_to_health_check();
     void forward(std::shared_ptr<HttpRequest> request);
     Millis time_left(const HttpRequest& request) const;
 
@@ -108,7 +108,7 @@
     PipelinedRequests pipelined_;
     std::optional<Millis> pipelined_since_;  // when the first pipelined byte arrived, Clock milliseconds
     Millis state_since_;
-    Millis request_began_ = 0;
+    Millis request_started_at_ = 0;
     Millis deadline_ = 0;  // of the current state, Clock milliseconds; 0: none
 };
 
--- a/src/proxy/client_session_input.cpp
+++ b/src/proxy/client_session_input.cpp
@@ -14,7 +14,7 @@
 // A request with other requests pipelined behind it is failed this many milliseconds after the earliest of
 // their deadlines. Their responses are due 0.5 s after their deadlines; the 150 ms are for one deadline
 // check, which detects the timeout, and for sending the responses.
-constexpr Millis kPipelinedGrace = RuleGuard::kAnswerGrace - 150;
+constexpr Millis kPipelinedGrace = RuleGuard::kResponseGrace - 150;
 constexpr std::size_t kMaxLingerBytes = 256 * 1024;
 
 // Pipelined bytes are buffered up to kFreePipelinedBytes, and up to kMaxPipelinedBytes (one whole request) if
@@ -56,9 +56,9 @@
 
 void ClientSession::read_available_bytes(error_code wait_result) {
     std::array<char, kDiscardSize> chunk;
-    const std::size_t wanted = state_ == State::waiting && !keep_alive_ ? kDiscardSize : kClientReadSize;
+    const std::size_t max_size = state_ == State::waiting && !keep_alive_ ? kDiscardSize : kClientReadSize;
     Transfer transfer{0, wait_result};
-    if (!wait_result) transfer = read_available(socket_, asio::buffer(chunk.data(), wanted));
+    if (!wait_result) transfer = read_available(socket_, asio::buffer(chunk.data(), max_size));
     if (!transfer.error && transfer.bytes == 0) return receive();
     try {
         on_received(transfer.error, asio::buffer(chunk, transfer.bytes));
@@ -77,7 +77,7 @@
         return discard_pipelined(bytes.size());
     if (pipelined && !pipelined_since_) pipelined_since_ = context_.clock.now() - context_.loop_waited();
     input_.commit(asio::buffer_copy(input_.prepare(bytes.size()), bytes));
-    if (state_ == State::idle) return begin_request();
+    if (state_ == State::idle) return start_reading_request();
     if (state_ == State::reading) return parse();
     on_pipelined_bytes();
 }
@@ -113,9 +113,10 @@
 
 bool ClientSession::reserve_pipelined(std::size_t additional) {
     const std::size_t total = input_.size() + additional;
-    const std::size_t others = context_.body_bytes - reserved_pipelined_bytes_;
+    const std::size_t other_reserved_bytes = context_.body_bytes - reserved_pipelined_bytes_;
     if (total > kMaxPipelinedBytes) return false;
-    if (total > kFreePipelinedBytes && others + total - kFreePipelinedBytes > context_.limits.body_bytes)
+    if (total > kFreePipelinedBytes &&
+        other_reserved_bytes + total - kFreePipelinedBytes > context_.limits.body_bytes)
         return false;
     account_pipelined(total);
     return true;
--- a/src/proxy/pending_request.hpp
+++ b/src/proxy/pending_request.hpp
@@ -18,7 +18,7 @@
 public:
     virtual ~Client() = default;
     /// Sends the final response. Called exactly once for each request, unless the client has disconnected.
-    virtual void answer(HttpResponse response) = 0;
+    virtual void send_response(HttpResponse response) = 0;
     /// Checks the connection. If the client has disconnected unnoticed, this is reported at once
     /// (BalancerDriver::client_disconnected).
     virtual void check_disconnected() = 0;
--- a/src/proxy/pipelined_requests.cpp
+++ b/src/proxy/pipelined_requests.cpp
@@ -7,7 +7,7 @@
 
 namespace ochregrade::sidecar {
 
-std::vector<Millis> deadlines_of_complete_requests(asio::const_buffer bytes) {
+std::vector<Millis> times_left_of_complete_requests(asio::const_buffer bytes) {
     std::vector<Millis> times_left;
     while (bytes.size() > 0) {
         http::request_parser<http::empty_body> parser;
@@ -27,12 +27,12 @@
 }
 
 void PipelinedRequests::update(asio::const_buffer bytes, Millis arrived_at) {
-    const std::vector<Millis> times_left = deadlines_of_complete_requests(bytes);
+    const std::vector<Millis> times_left = times_left_of_complete_requests(bytes);
     for (std::size_t i = deadlines_.size(); i < times_left.size(); ++i)
         deadlines_.push_back(arrived_at + times_left[i]);
 }
 
-void PipelinedRequests::begin_next() {
+void PipelinedRequests::remove_first() {
     if (!deadlines_.empty()) deadlines_.pop_front();
 }
 
--- a/src/proxy/pipelined_requests.hpp
+++ b/src/proxy/pipelined_requests.hpp
@@ -14,7 +14,7 @@
 
 /// X-Time-Left of each complete request in `bytes`, in milliseconds and in the order of the requests;
 /// infinity for a request without a valid X-Time-Left. Parsing stops at a chunked request.
-std::vector<Millis> deadlines_of_complete_requests(asio::const_buffer bytes);
+std::vector<Millis> times_left_of_complete_requests(asio::const_buffer bytes);
 
 class PipelinedRequests {
 public:
@@ -22,7 +22,7 @@
     /// `arrived_at`: the arrival time of the requests that are added, Clock milliseconds.
     void update(asio::const_buffer bytes, Millis arrived_at);
     /// Removes the first pipelined request, because it is being served now.
-    void begin_next();
+    void remove_first();
     void clear() { deadlines_.clear(); }
 
     /// The earliest deadline, Clock milliseconds; none if no pipelined request has a deadline.
--- a/src/proxy/rule_guard.cpp
+++ b/src/proxy/rule_guard.cpp
@@ -66,7 +66,7 @@
     const auto reason = find_reason(request, number, endpoint, now);
     if (!reason) return {};
     ++counts_.withheld[static_cast<std::size_t>(*reason)];
-    if (is_violation(*reason)) violated(Violation::repeat);
+    if (is_violation(*reason)) record_violation(Violation::repeat);
     return reason;
 }
 
@@ -77,29 +77,29 @@
     for (const AttemptFacts& attempt : request.attempts) {
         if (!may_have_run(attempt)) continue;
         if (deduplicated_everywhere && now < attempt.sent_at + request.kind.dedup_window) continue;
-        violated(Violation::rejected_after_run);
+        record_violation(Violation::rejected_after_run);
         return false;
     }
     return true;
 }
 
-void RuleGuard::check_answer(Millis deadline, Millis now) {
-    if (now > deadline + kAnswerGrace) violated(Violation::answered_late);
+void RuleGuard::check_final_response(Millis deadline, Millis now) {
+    if (now > deadline + kResponseGrace) record_violation(Violation::answered_late);
 }
 
 void RuleGuard::check_propagated_deadline(Millis propagated, Millis deadline) {
-    if (propagated > deadline + kDeadlineSlack) violated(Violation::deadline_overstated);
+    if (propagated > deadline + kDeadlineSlack) record_violation(Violation::deadline_overstated);
 }
 
 void RuleGuard::check_close(bool unanswered, bool client_disconnected) {
-    if (unanswered && !client_disconnected) violated(Violation::closed_unanswered);
+    if (unanswered && !client_disconnected) record_violation(Violation::closed_unanswered);
 }
 
 void RuleGuard::check_ready(bool has_endpoints) {
-    if (!has_endpoints) violated(Violation::unready_start);
+    if (!has_endpoints) record_violation(Violation::unready_start);
 }
 
-void RuleGuard::violated(Violation violation) {
+void RuleGuard::record_violation(Violation violation) {
     ++counts_.violations[static_cast<std::size_t>(violation)];
     log_line("rule violated: " + std::string(to_string(violation)));
 }
--- a/src/proxy/rule_guard.hpp
+++ b/src/proxy/rule_guard.hpp
@@ -36,7 +36,7 @@
 enum class Violation : std::size_t {
     repeat,               // an attempt that might have run a request twice (`duplicate`)
     closed_unanswered,    // the sidecar read a request and closed its connection without a response (`lost`)
-    answered_late,        // the final response came more than kAnswerGrace after the deadline (`lost`)
+    answered_late,        // the final response came more than kResponseGrace after the deadline (`lost`)
     rejected_after_run,   // a rejection of a request that may have run
     deadline_overstated,  // the deadline sent to an endpoint exceeds the client's by more than kDeadlineSlack
     unready_start,        // reported ready without an endpoint list
@@ -78,7 +78,7 @@
 class RuleGuard {
 public:
     /// Limits of the protocol, milliseconds.
-    static constexpr Millis kAnswerGrace = 500;
+    static constexpr Millis kResponseGrace = 500;
     static constexpr Millis kDeadlineSlack = 150;
 
     struct Counts {
@@ -94,7 +94,7 @@
     /// Whether the request may be rejected, which promises the client that a retry is harmless.
     bool check_rejection(const RequestFacts& request, Millis now);
     /// Called before a final response is written; both times are Clock milliseconds.
-    void check_answer(Millis deadline, Millis now);
+    void check_final_response(Millis deadline, Millis now);
     /// Called before an attempt is sent with the deadline `propagated`; `deadline` is the client's.
     void check_propagated_deadline(Millis propagated, Millis deadline);
     /// Called before a client's connection is closed. `unanswered`: a request was read and has no final
@@ -108,7 +108,7 @@
 private:
     std::optional<Withheld> find_reason(const RequestFacts& request, std::size_t number,
                                         const EndpointFacts& endpoint, Millis now) const;
-    void violated(Violation violation);
+    void record_violation(Violation violation);
 
     Counts counts_;
 };
--- a/src/proxy/upstream_connection.cpp
+++ b/src/proxy/upstream_connection.cpp
@@ -81,11 +81,11 @@
 }
 
 void UpstreamConnection::start_connect_timer() {
-    const Millis give_up = std::min(clock_.now() + exchange_->connect_timeout, exchange_->deadline);
+    const Millis connect_deadline = std::min(clock_.now() + exchange_->connect_timeout, exchange_->deadline);
     // A connect that had less time than the connect timeout shows nothing about the endpoint.
     const Outcome outcome =
-        exchange_->write_deadline < give_up ? Outcome::not_sent : Outcome::connect_failure;
-    timer_.expires_at(clock_.point(std::min(give_up, exchange_->write_deadline)));
+        exchange_->write_deadline < connect_deadline ? Outcome::not_sent : Outcome::connect_failure;
+    timer_.expires_at(clock_.point(std::min(connect_deadline, exchange_->write_deadline)));
     timer_.async_wait([this, self = shared_from_this(), outcome](error_code ec) {
         if (ec || state_ != State::connecting) return;
         end(connect_retries_ > 0 ? Outcome::not_sent : outcome);
@@ -155,7 +155,7 @@
     written_bytes_ += transfer.bytes;
     // An endpoint starts a request when its last byte has arrived: before that, the request never ran.
     if (transfer.error) return end(Outcome::connect_failure);
-    if (written_bytes_ == output_.size()) return begin_response();
+    if (written_bytes_ == output_.size()) return start_reading_response();
     socket_.async_wait(tcp::socket::wait_write,
                        [this, self = shared_from_this()](error_code) { on_writable(); });
 }
@@ -169,7 +169,7 @@
 
 // ---- Reading
 
-void UpstreamConnection::begin_response() {
+void UpstreamConnection::start_reading_response() {
     state_ = State::reading;
     parser_.emplace();
     parser_->header_limit(kMaxHeader);
@@ -189,7 +189,7 @@
     if (status / 100 != 1) return on_response();
     // An interim (1xx) response is followed by another response. The number of interim responses is bounded.
     if (status == 101 || ++interim_responses_ > kMaxInterimResponses) return end(Outcome::connection_reset);
-    begin_response();
+    start_reading_response();
 }
 
 void UpstreamConnection::receive() {
--- a/src/proxy/upstream_connection.hpp
+++ b/src/proxy/upstream_connection.hpp
@@ -99,7 +99,7 @@
     Millis propagated_time_left() const;
     void write_available_bytes();
     void on_writable();
-    void begin_response();
+    void start_reading_response();
     void parse();
     void receive();
     void on_received(error_code ec, std::size_t size);
--- a/src/proxy/upstream_pool.cpp
+++ b/src/proxy/upstream_pool.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-// An idle connection is closed this many milliseconds before its endpoint would close it, but at most this
-// share of the idle timeout before.
+// An idle connection is closed kIdleMargin milliseconds before its endpoint would close it, but at most
+// 1/kIdleMarginDivisor of the idle timeout before.
 constexpr Millis kIdleMargin = 1000;
-constexpr Millis kIdleMarginShare = 4;  // 1 / share
+constexpr Millis kIdleMarginDivisor = 4;
 
 CloseReason close_reason_for(Outcome outcome) {
     switch (outcome) {
@@ -76,7 +76,7 @@
     if (reused) return connection->write_request();
     // At the connection limit no descriptor may be used: the request is never sent, which shows nothing about
     // the endpoint.
-    if (open_ > limits_.connections) return end_unanswered(connection, Outcome::not_sent);
+    if (open_ > limits_.connections) return end_without_response(connection, Outcome::not_sent);
     connection->connect();
 }
 
@@ -84,7 +84,7 @@
     if (!handlers_.may_write) return true;
     const bool allowed = handlers_.may_write(connection->exchange()->key, partly_written);
     if (connection->state() == Connection::State::closed) return false;  // the handler has withdrawn it
-    if (!allowed) end_unanswered(connection, Outcome::not_sent);
+    if (!allowed) end_without_response(connection, Outcome::not_sent);
     return allowed;
 }
 
@@ -104,7 +104,7 @@
     handlers_.attempt_ended(exchange->key, outcome, response);
 }
 
-void UpstreamPool::end_unanswered(const ConnectionPtr& connection, Outcome outcome) {
+void UpstreamPool::end_without_response(const ConnectionPtr& connection, Outcome outcome) {
     end_exchange(connection, outcome, nullptr, false);
 }
 
@@ -114,7 +114,7 @@
     const ConnectionPtr connection = at->second;
     // An endpoint starts a request when its last byte has arrived.
     const bool written = connection->state() == Connection::State::reading;
-    end_unanswered(connection, written ? if_written : if_not_written);
+    end_without_response(connection, written ? if_written : if_not_written);
 }
 
 void UpstreamPool::expire(AttemptKey key) { stop(key, Outcome::connect_failure, Outcome::timeout); }
@@ -124,7 +124,7 @@
     std::vector<ConnectionPtr> not_written;
     for (auto at = attempts_.lower_bound({id, 0}); at != attempts_.end() && at->first.id == id; ++at)
         if (at->second->state() != Connection::State::reading) not_written.push_back(at->second);
-    for (const ConnectionPtr& connection : not_written) end_unanswered(connection, Outcome::not_sent);
+    for (const ConnectionPtr& connection : not_written) end_without_response(connection, Outcome::not_sent);
 }
 
 void UpstreamPool::withdraw_endpoint(EndpointId endpoint) {
@@ -132,7 +132,7 @@
     for (const auto& [key, connection] : attempts_)
         if (connection->endpoint() == endpoint && connection->state() == Connection::State::connecting)
             connecting.push_back(connection);
-    for (const ConnectionPtr& connection : connecting) end_unanswered(connection, Outcome::not_sent);
+    for (const ConnectionPtr& connection : connecting) end_without_response(connection, Outcome::not_sent);
     retire(endpoint);
 }
 
@@ -183,7 +183,7 @@
 // lost.
 Millis UpstreamPool::idle_deadline(const Connection& connection) const {
     return connection.idle_since() + limits_.idle_timeout -
-           std::min(kIdleMargin, limits_.idle_timeout / kIdleMarginShare);
+           std::min(kIdleMargin, limits_.idle_timeout / kIdleMarginDivisor);
 }
 
 void UpstreamPool::close_connection(const ConnectionPtr& connection, CloseReason reason) {
--- a/src/proxy/upstream_pool.hpp
+++ b/src/proxy/upstream_pool.hpp
@@ -85,7 +85,7 @@
     void return_to_pool(const ConnectionPtr& connection);
     void evict_idle();
     Millis idle_deadline(const Connection& connection) const;
-    void end_unanswered(const ConnectionPtr& connection, Outcome outcome);
+    void end_without_response(const ConnectionPtr& connection, Outcome outcome);
     void stop(AttemptKey key, Outcome if_not_written, Outcome if_written);
 
     asio::io_context& io_;
--- a/tests/proxy/pipelined_requests_test.cpp
+++ b/tests/proxy/pipelined_requests_test.cpp
@@ -44,7 +44,7 @@
     const std::string health = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
     const std::string all = first + health + second;
     for (std::size_t size = 0; size <= all.size(); ++size) {
-        const std::vector<Millis> times = deadlines_of_complete_requests(asio::buffer(all.data(), size));
+        const std::vector<Millis> times = times_left_of_complete_requests(asio::buffer(all.data(), size));
         const std::size_t complete =
             (size >= first.size()) + (size >= first.size() + health.size()) + (size == all.size());
         ASSERT_EQ(times.size(), complete) << size;
--- a/tests/proxy/rule_guard_test.cpp
+++ b/tests/proxy/rule_guard_test.cpp
@@ -82,13 +82,13 @@
 
 TEST(RuleGuard, CountsViolationsThatCannotBeWithheld) {
     RuleGuard guard;
-    guard.check_answer(1000, 1000 + RuleGuard::kAnswerGrace);
+    guard.check_final_response(1000, 1000 + RuleGuard::kResponseGrace);
     guard.check_propagated_deadline(400, 400 - RuleGuard::kDeadlineSlack);
     guard.check_close(true, true);
     guard.check_close(false, false);
     guard.check_ready(true);
     EXPECT_EQ(guard.counts().all_violations(), 0U);
-    guard.check_answer(1000, 1001 + RuleGuard::kAnswerGrace);
+    guard.check_final_response(1000, 1001 + RuleGuard::kResponseGrace);
     guard.check_propagated_deadline(400, 399 - RuleGuard::kDeadlineSlack);
     guard.check_close(true, false);
     guard.check_ready(false);
