--- a/bench/guarantee_rows.py
+++ b/bench/guarantee_rows.py
@@ -253,7 +253,7 @@
         "idle connections are checked for bytes before they are closed",
         [Edit(SESSION, "if (state_ == State::idle && has_unread_bytes()) return;", "")],
         PROXY_TESTS,
-        "ReadTimeout.SparesConnectionWithUnreadRequest",
+        "ReadTimeout.DoesNotCloseConnectionWithUnreadRequest",
     ),
     Guarantee(
         "slow connections are checked for bytes before they are evicted",
--- a/tests/proxy/attempt_outcome_test.cpp
+++ b/tests/proxy/attempt_outcome_test.cpp
@@ -1,5 +1,5 @@
-// How each ending of an attempt is classified: whether the request may have run decides whether it is
-// retried.
+// How each way in which an attempt ends is classified: whether the request may have run decides whether the
+// request is retried.
 #include "support/stepped_sidecar.hpp"
 
 namespace ochregrade::sidecar {
@@ -8,7 +8,7 @@
 struct OutcomeCase {
     const char* name;
     const char* request_class;
-    FakeServer::Reply first;  // to the first request; later ones succeed
+    FakeServer::Reply first;  // to the first request; later requests succeed
     unsigned status;
     std::size_t requests;
 };
@@ -30,7 +30,7 @@
     App app(sidecar.at);
     EXPECT_EQ(app.ask(App::request(outcome_case.request_class)).result_int(), outcome_case.status);
     EXPECT_EQ(server.seen().size(), outcome_case.requests);
-    // Bytes behind the response are not taken for the next one.
+    // Bytes behind the response are not taken for the next response.
     const HttpResponse next = app.ask(App::request("deposit"));
     EXPECT_EQ(next.result_int(), 200u);
     EXPECT_EQ(next.body(), "fine");
@@ -57,7 +57,7 @@
 FakeServer::Reply respond_with(const std::string& text) {
     return [text](Wire& w, const HttpRequest&, int) { return w.write(text), true; };
 }
-// Sent by whole lines until the sidecar closes the connection.
+// Sends whole header lines until the sidecar closes the connection.
 const FakeServer::Reply kEndlessHead = [](Wire& w, const HttpRequest&, int) {
     const std::string lines = "X-Pad: pppppppppppppppppppppppp\r\nX-Pad: pppppppppppppppppppppppp\r\n";
     error_code ec;
@@ -84,8 +84,8 @@
 };
 const std::string kFine = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine";
 
-// After an invalid response the request may have run; a response with bytes behind it is valid. The
-// connection is not used again after either.
+// After an invalid response, the request may have run. A response with bytes behind it is valid. In both
+// cases the connection is not reused.
 INSTANTIATE_TEST_SUITE_P(
     UnusualResponse, AttemptOutcome,
     testing::Values(
@@ -136,8 +136,8 @@
                     OutcomeCase{"continue_not_idempotent", "deposit", kContinue, 200, 1}),
     [](const auto& info) { return info.param.name; });
 
-// A response delimited by the end of the connection is forwarded with a Content-Length; a reset is not such
-// an end.
+// A response delimited by the close of its connection is forwarded with a Content-Length. A reset does not
+// complete such a response.
 TEST(ResponseWithoutLength, IsCompleteAtCloseAndInvalidAfterReset) {
     const std::string head = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
     for (const std::size_t size : {0u, 6u, 20000u, 64u * 1024}) {
@@ -145,10 +145,10 @@
         const std::string body(size, 'w');
         FakeServer server([&](Wire& w, const HttpRequest&, int) { return w.write(head + body), false; });
         Running sidecar(a_config(kNoAddress, {host("s1", server.at())}));
-        const HttpResponse answer = App(sidecar.at).ask(App::request("deposit"));
-        EXPECT_EQ(answer.result_int(), 200u);
-        EXPECT_EQ(answer.body(), body);
-        EXPECT_EQ(answer[http::field::content_length], std::to_string(size));
+        const HttpResponse response = App(sidecar.at).ask(App::request("deposit"));
+        EXPECT_EQ(response.result_int(), 200u);
+        EXPECT_EQ(response.body(), body);
+        EXPECT_EQ(response[http::field::content_length], std::to_string(size));
     }
     const auto status_of_incomplete = [&](const std::string& body, bool reset) {
         FakeServer server([&](Wire& w, const HttpRequest&, int) {
@@ -165,7 +165,8 @@
     EXPECT_EQ(status_of_incomplete(std::string(64 * 1024 + 1, 'w'), false), 502u) << "longer than allowed";
 }
 
-// A 4xx concerns the request itself: it is not retried, and does not count against the endpoint.
+// A 4xx response concerns the request itself: the request is not retried, and the response does not count
+// against the endpoint.
 TEST(ClientError, FromEndpointIsNotRetried) {
     FakeServer server([](Wire& w, const HttpRequest&, int) { return w.respond(404), true; });
     Running sidecar(a_config(kNoAddress, {host("s1", server.at())}));
--- a/tests/proxy/balancer_driver_test.cpp
+++ b/tests/proxy/balancer_driver_test.cpp
@@ -1,4 +1,4 @@
-// Changes of the configuration while a request is being read.
+// A change of the configuration while a request is being read.
 #include "proxy/balancer_driver.hpp"
 
 #include "support/stepped_sidecar.hpp"
@@ -6,7 +6,7 @@
 namespace ochregrade::sidecar {
 namespace {
 
-// A request that begins under one configuration and arrives completely under another.
+// The request starts under one configuration and arrives completely under another.
 TEST(BalancerDriver, RequestIsValidatedByConfigurationAtItsLastByte) {
     FakeServer server;
     json config = a_config(kNoAddress, {host("s1", server.at())});
@@ -17,10 +17,9 @@
         App* app;
         std::string text;
         unsigned status;
-    } all[] = {
-        {&removed_class, App::request("listen"), 400},
-        {&changed_class, App::request("annotate", "25000m", "x"), 400},  // must not have a key any more
-        {&same_class, App::request("deposit", "25000m", "x"), 200}};
+    } all[] = {{&removed_class, App::request("listen"), 400},
+               {&changed_class, App::request("annotate", "25000m", "x"), 400},  // must have no key any more
+               {&same_class, App::request("deposit", "25000m", "x"), 200}};
     for (auto& each : all) each.app->wire.write(each.text.substr(0, each.text.size() - 1));
     ASSERT_TRUE(sidecar.until([&] { return sidecar.listener.connections() == 3; }));
     sidecar.turn();
@@ -32,7 +31,7 @@
     EXPECT_EQ(server.seen().size(), 1u);
 }
 
-// The class keeps its name but is not idempotent any more: the request is not retried.
+// The request class has the same name but is not idempotent any more: the request is not retried.
 TEST(BalancerDriver, RequestBeingReadUsesNewIdempotencyOfItsClass) {
     FakeServer server([](Wire& wire, const HttpRequest&, int number) {
         return number == 0 ? (wire.reset(), false) : (wire.respond(200, "fine"), true);
--- a/tests/proxy/client_disconnect_test.cpp
+++ b/tests/proxy/client_disconnect_test.cpp
@@ -1,4 +1,5 @@
-// Clients that disconnect: nothing is sent for them from then on, at whatever moment they leave.
+// Disconnects of clients: after a disconnect, whenever it happens, nothing more is sent for the client. Also
+// the limits on pipelined bytes, which must not hide a disconnect.
 #include <linux/sockios.h>
 #include <sys/ioctl.h>
 
@@ -8,7 +9,8 @@
 namespace ochregrade::sidecar {
 namespace {
 
-// The disconnect is in the kernel behind the request, and there is an idle upstream connection to send it on.
+// The disconnect is unread in the kernel behind the request, and an idle upstream connection could send the
+// request at once.
 TEST(ClientDisconnect, UnreadInKernelIsDetectedBeforeSend) {
     FakeServer server;
     SteppedSidecar sidecar(a_config(kNoAddress, {host("s1", server.at())}));
@@ -29,8 +31,8 @@
     EXPECT_EQ(server.seen().size(), 1u);
 }
 
-// The client leaves while the upstream connection is being established; the last check is before the first
-// byte.
+// The client disconnects while the upstream connection is being established; the last check is before the
+// first byte is written.
 TEST(ClientDisconnect, DuringConnectPreventsWrite) {
     FakeServer server;
     SteppedUpstreamPool pool({1000, 15000, 10, 0});
@@ -48,7 +50,8 @@
     App app(sidecar.listener.endpoint());
     ASSERT_EQ(sidecar.ask(app, kHealthRequest).result_int(), 200u);
     app.wire.write(App::request("listen"));
-    // The kernel has established the connection, and neither that nor the disconnect has been read yet.
+    // The kernel has established the upstream connection, and the sidecar has handled neither that nor the
+    // disconnect yet.
     while (sidecar.driver.usage().connections == 0) sidecar.io.restart(), sidecar.io.run_one();
     app.wire.socket.close();
     ASSERT_TRUE(sidecar.until([&] { return sidecar.driver.totals().client_disconnects == 1; }));
@@ -56,8 +59,8 @@
     EXPECT_TRUE(server.seen().empty());
 }
 
-// An attempt that is not written completely has not run: it is withdrawn, also where attempts may not be
-// cancelled.
+// An attempt that is not written completely has not run: the attempt is withdrawn, even if the configuration
+// forbids cancelling attempts.
 TEST(ClientDisconnect, PartlyWrittenRequestIsWithdrawn) {
     const auto check = [&](const char* how, Outcome outcome,
                            const std::function<void(SteppedUpstreamPool&)>& end) {
@@ -69,7 +72,7 @@
         request.go.set_value();
         EXPECT_LT(request.came.get_future().get(), PartlyWrittenRequest::kWhole);
     };
-    check("its client left", Outcome::not_sent,
+    check("its client disconnected", Outcome::not_sent,
           [](SteppedUpstreamPool& pool) { pool.upstream.withdraw_request(pool.last); });
     check("cancelled", Outcome::not_sent, [](SteppedUpstreamPool& pool) {
         pool.upstream.cancel({pool.last, 0});
@@ -79,7 +82,7 @@
     });
 }
 
-// The disconnect may be unread in the kernel when the next part can be written.
+// The disconnect may be unread in the kernel when the next part of the request can be written.
 TEST(ClientDisconnect, IsCheckedBeforeEachFurtherWrite) {
     PartlyWrittenRequest request;
     request.pool.may_write = [](AttemptKey) { return false; };
@@ -89,7 +92,7 @@
     EXPECT_LT(request.came.get_future().get(), PartlyWrittenRequest::kWhole);
 }
 
-// Pipelined bytes must not hide that the client leaves, however many there are.
+// Pipelined bytes must not hide a disconnect of the client, however many there are.
 TEST(ClientDisconnect, IsDetectedBehindAnyAmountOfPipelinedBytes) {
     for (const std::size_t pipelined_bytes : {40u << 10, 100u << 10, 1000u << 10}) {
         SCOPED_TRACE(pipelined_bytes);
@@ -113,8 +116,8 @@
     }
 }
 
-// And soon enough: the 4 MB that a kernel holds for a sender are discarded within 0.3 s, six checks of
-// deadlines. A check is made, and counted, when no bytes move any more without it.
+// The disconnect must also be detected soon: the 4 MB that a kernel holds for a sender are discarded within
+// 0.3 s, which is six deadline checks. The test makes and counts a check whenever no bytes move without it.
 TEST(ClientDisconnect, IsDetectedBehindFullKernelBufferWithinSixChecks) {
     std::promise<void> release;
     std::shared_future<void> released = release.get_future().share();
@@ -147,7 +150,8 @@
     release.set_value();
 }
 
-// One whole request may wait behind another; more closes the connection after the response being prepared.
+// One whole request may be pipelined behind another; with more bytes, the connection is closed after the
+// response being prepared.
 TEST(PipelinedRequests, AreServedInOrderUpToLimit) {
     std::promise<void> release;
     std::shared_future<void> released = release.get_future().share();
@@ -162,7 +166,7 @@
     app.wire.write(App::request("deposit", "25000m", std::string(60000, 'x')));
     std::atomic<bool> written{false};
     std::thread client([&] { flood.wire.write(std::string(400 << 10, 'x')), written = true; });
-    // All of the flood has left the client's kernel buffer, so most of it has been read by the sidecar.
+    // All bytes of `flood` have left the client's kernel buffer, so the sidecar has read most of them.
     ASSERT_TRUE(sidecar.until([&] {
         int unsent = 1;
         sidecar.listener.check_deadlines();
@@ -182,7 +186,7 @@
     EXPECT_TRUE(flood.wire.ended());
 }
 
-// Pipelined bytes count against the memory for bodies, as long as they are kept.
+// Pipelined bytes count against the memory for bodies while they are buffered.
 TEST(PipelinedRequests, ShareMemoryForBodiesAndReleaseIt) {
     std::promise<void> release;
     std::shared_future<void> released = release.get_future().share();
@@ -205,7 +209,7 @@
     EXPECT_EQ(sidecar.ask(retry, App::request("deposit", "25000m", body)).result_int(), 200u);
 }
 
-// A pipelined request must not hide that the client has left.
+// A pipelined request must not hide a disconnect of the client.
 TEST(ClientDisconnect, IsDetectedBehindPipelinedRequest) {
     std::promise<bool> closed;
     FakeServer server([&](Wire& wire, const HttpRequest&, int) {
--- a/tests/proxy/client_session_test.cpp
+++ b/tests/proxy/client_session_test.cpp
@@ -1,4 +1,5 @@
-// Requests of one client connection: forwarded unchanged, or answered here in time when they are incomplete.
+// Requests of one client connection: complete requests are forwarded unchanged, and the sidecar rejects
+// incomplete requests in time.
 #include "proxy/client_session.hpp"
 
 #include "support/stepped_sidecar.hpp"
@@ -32,7 +33,7 @@
     EXPECT_GT(std::stoll(left), 0);
 }
 
-// A client must not be able to remove the key by which an endpoint recognises retries.
+// A client must not be able to remove the idempotency key by which an endpoint recognises retries.
 TEST(ClientSession, ConnectionHeaderCannotRemoveIdempotencyKey) {
     FakeServer server;
     Running sidecar(a_config(kNoAddress, {host("s1", server.at())}));
@@ -56,7 +57,7 @@
     while (app.ask(health).result_int() != 200u) ASSERT_LT(seconds_since(start), 30);
 }
 
-// The id of a request being served: an endpoint would take the second request for a retry of the first.
+// An endpoint would take a second request with the id of a request being served for a retry of the first.
 TEST(ClientSession, CorrelationIdInUseIsRejected) {
     std::promise<void> release;
     std::shared_future<void> released = release.get_future().share();
@@ -74,7 +75,7 @@
     EXPECT_EQ(server.seen().size(), 1u);
 }
 
-// Neither a silent client nor an incomplete request keeps a connection for long.
+// Neither a silent client nor an incomplete request may occupy a connection for long.
 TEST(ClientSession, SlowClientsAreRejectedWithinThreeSeconds) {
     Running sidecar(a_config(kNoAddress, {host("s1", kNoAddress)}));
     App silent(sidecar.at), incomplete(sidecar.at);
@@ -85,11 +86,12 @@
     EXPECT_LT(seconds_since(start), 20);  // 3 s on a machine that is not paused; clients wait for 30 s
 }
 
-// The time of an incomplete request that was pipelined behind a whole one counts from its arrival.
+// The read timeout of an incomplete request that was pipelined behind a whole request counts from the arrival
+// of the incomplete request.
 TEST(ClientSession, IncompleteRequestBehindSlowResponseTimesOutFromItsArrival) {
-    constexpr double kServerTakes = 2.0, kReadTimeout = 3.0;  // seconds
+    constexpr double kServiceTime = 2.0, kReadTimeout = 3.0;  // seconds
     FakeServer server([&](Wire& w, const HttpRequest&, int) {
-        std::this_thread::sleep_for(std::chrono::duration<double>(kServerTakes));
+        std::this_thread::sleep_for(std::chrono::duration<double>(kServiceTime));
         return w.respond(200, "fine"), true;
     });
     Running sidecar(a_config(kNoAddress, {host("s1", server.at())}));
@@ -99,12 +101,12 @@
     EXPECT_EQ(app.answer().result_int(), 200u);
     const double answered = seconds_since(start);
     EXPECT_EQ(app.answer().result_int(), 408u);
-    EXPECT_LT(seconds_since(start), answered - kServerTakes + kReadTimeout);
+    EXPECT_LT(seconds_since(start), answered - kServiceTime + kReadTimeout);
 }
 
-// The same if the connection itself had to wait for a descriptor.
+// The read timeout also counts from the request's arrival if its connection had to wait for a descriptor.
 TEST(ClientSession, IncompleteRequestOnUnacceptedConnectionTimesOutFromItsArrival) {
-    constexpr std::chrono::milliseconds kNotAccepted{1500};
+    constexpr std::chrono::milliseconds kAcceptDelay{1500};
     constexpr double kReadTimeout = 3.0, kSlack = 0.3;  // seconds
     Running sidecar(a_config(kNoAddress, {host("s1", kNoAddress)}));
     asio::io_context io;
@@ -114,7 +116,7 @@
         const NoDescriptors none;
         incomplete.socket.connect(sidecar.at);
         incomplete.write("POST /deposit HTTP/1.1\r\nHost: x\r\n");
-        std::this_thread::sleep_for(kNotAccepted);
+        std::this_thread::sleep_for(kAcceptDelay);
     }
     HttpResponse response;
     EXPECT_TRUE(incomplete.read(response));
--- a/tests/proxy/drain_test.cpp
+++ b/tests/proxy/drain_test.cpp
@@ -1,4 +1,4 @@
-// A drain: what is answered between SIGTERM and the end of the process (docs/ENDINGS.md).
+// A drain: which requests are served between SIGTERM and the exit of the process (docs/ENDINGS.md).
 #include "support/stepped_sidecar.hpp"
 
 namespace ochregrade::sidecar {
@@ -9,14 +9,14 @@
     return config;
 }
 
-// The response was being written when the drain began: it promises to keep the connection, which nothing else
-// would close.
+// The response was being written when the drain started. Its headers promise to keep the connection open, and
+// nothing else would close the connection.
 TEST(Drain, ClosesConnectionAfterResponseBeingWritten) {
     SteppedSidecar sidecar(a_config(kNoAddress, {host("s1", kNoAddress)}));
     App app(sidecar.listener.endpoint());
     app.wire.write(kHealthRequest);
     while (!is_readable(app.wire))
-        sidecar.io.restart(), sidecar.io.run_one();  // written, but the handler has not run
+        sidecar.io.restart(), sidecar.io.run_one();  // the response is written, but the handler has not run
     sidecar.listener.drain(sidecar.clock.now() + 1000);
     EXPECT_EQ(sidecar.listener.connections(), 1u);
     EXPECT_TRUE(app.answer().keep_alive());
@@ -24,7 +24,7 @@
     EXPECT_EQ(sidecar.listener.connections(), 0u);
 }
 
-// A new connection is about to carry a request: whoever opens it sends at once.
+// A new connection is about to carry a request: a client that opens a connection is expected to send at once.
 TEST(Drain, NewConnectionHasTimeForItsFirstRequest) {
     FakeServer server;
     SteppedSidecar sidecar(a_config(kNoAddress, {host("s1", server.at())}));
@@ -33,7 +33,7 @@
     sidecar.listener.drain(sidecar.clock.now() + 5000);
     sidecar.io.restart(), sidecar.io.run_for(std::chrono::milliseconds(20));
     EXPECT_EQ(sidecar.ask(fresh, App::request("listen")).result_int(), 200u);
-    // One that sends nothing is closed soon.
+    // A connection on which nothing is sent is closed soon.
     App silent(sidecar.listener.endpoint());
     ASSERT_TRUE(sidecar.until([&] { return sidecar.listener.connections() > 0; }));
     EXPECT_TRUE(sidecar.until([&] {
@@ -60,7 +60,8 @@
     }
 }
 
-// Without a descriptor for them, connections in the accept queue are accepted as soon as there is one.
+// Connections for which no descriptor is free stay in the accept queue and are accepted as soon as a
+// descriptor is free.
 TEST(Drain, AcceptQueueIsEmptiedOnceDescriptorsAreAvailable) {
     FakeServer server;
     SteppedSidecar sidecar(a_config(kNoAddress, {host("s1", server.at())}));
@@ -75,8 +76,9 @@
     EXPECT_EQ(sidecar.answer(waiting).result_int(), 200u);
 }
 
-// A request may cross the close of an idle connection, and its client then retries on a new one, which must
-// still be accepted. Repeated only if this thread is paused for the time in between.
+// A client may send a request while the sidecar closes its idle connection. The client then retries on a new
+// connection, which must still be accepted. The test is repeated only if this thread was paused until
+// connections were no longer accepted.
 TEST(Drain, ClientOfClosedIdleConnectionCanRetryOnNewOne) {
     FakeServer server;
     const auto retry_is_served = [&] {
@@ -97,7 +99,7 @@
     EXPECT_TRUE(served);
 }
 
-// SIGKILL may come 3.7 s after SIGTERM, however long the deadlines.
+// SIGKILL may come 3.7 s after SIGTERM, however long the deadlines are.
 TEST(Drain, LateRequestWithLongDeadlineIsAnsweredBeforeSigkill) {
     FakeServer server;
     Running sidecar(with_deadlines(a_config(kNoAddress, {host("s1", server.at())}), 10000));
@@ -105,7 +107,7 @@
     ASSERT_EQ(app.ask(kHealthRequest).result_int(), 200u);
     const std::string text = App::request("deposit", "10000m");
     app.wire.write(text.substr(0, 30));
-    // Begun, so that it is not closed as idle.
+    // The request has started, so that its connection is not closed as idle.
     while (sidecar.in_loop([&] { return !sidecar.node().listener().reading(); })) {
     }
     sidecar.stop([] {});
@@ -115,8 +117,8 @@
     EXPECT_LE(std::stoll(left), 3500000);
 }
 
-// An incomplete request is rejected before the process ends, which would reset its connection without an
-// answer.
+// An incomplete request is rejected before the process exits, because the exit would reset its connection
+// without a response.
 TEST(Drain, IncompleteRequestIsRejectedBeforeExit) {
     Running sidecar(with_deadlines(a_config(kNoAddress, {host("s1", kNoAddress)}), 300));
     App app(sidecar.at);
@@ -129,7 +131,8 @@
     EXPECT_EQ(app.answer().result_int(), 408u);
 }
 
-// A configuration with shorter deadlines came before the signal; requests that began before it keep theirs.
+// A configuration with shorter deadlines was applied before the signal. Requests that started before the
+// change keep the longer deadlines.
 TEST(Drain, WaitsForDeadlinesOfEarlierConfiguration) {
     FakeServer server([](Wire& wire, const HttpRequest&, int) { return wire.ended(), false; });
     json config = with_deadlines(a_config(kNoAddress, {host("s1", server.at())}), 2500);
@@ -148,7 +151,7 @@
     EXPECT_EQ(app.answer().result_int(), 502u);
 }
 
-// SIGTERM again while draining: the end stays where it was, and `done` is called once.
+// A second SIGTERM while draining does not change the end of the drain, and `done` is called once.
 TEST(Drain, SecondSignalHasNoEffect) {
     FakeServer server;
     Running sidecar(a_config(kNoAddress, {host("s1", server.at())}));
@@ -158,7 +161,8 @@
     EXPECT_EQ(done.get_future().get(), 1);
 }
 
-// Lists are applied to the end: a request that arrives while draining does not go to a draining endpoint.
+// Endpoint lists are applied until the end of the drain: a request that arrives while the sidecar drains is
+// not sent to a draining endpoint.
 TEST(Drain, EndpointListUpdatesAreApplied) {
     FakeServer old, fresh;
     FakeDiscovery discovery;
@@ -171,7 +175,7 @@
     }
     sidecar.stop([] {});
     discovery.say(6, false, {host("s1", old.at(), "DRAINING"), host("s2", fresh.at())});
-    discovery.wait_for(2);  // the next call is made when the list is applied, in the same turn of the loop
+    discovery.wait_for(2);  // discovery is called again in the turn of the loop that applies the list
     sidecar.in_loop([] { return 0; });
     EXPECT_EQ(app.ask(text.substr(30)).result_int(), 200u);
     EXPECT_TRUE(old.seen().empty());
--- a/tests/proxy/endpoint_table_test.cpp
+++ b/tests/proxy/endpoint_table_test.cpp
@@ -6,11 +6,11 @@
 namespace ochregrade::sidecar {
 namespace {
 
-// A request that an endpoint rejects after it was listed as draining is retried at another endpoint, and
-// rejected if there is none.
+// A request that an endpoint rejects after the endpoint was listed as draining is retried at another
+// endpoint, or rejected if there is none.
 TEST(EndpointList, RetryAvoidsDrainingEndpoint) {
     for (const bool other : {true, false}) {
-        SCOPED_TRACE(other ? "another is there" : "no other is there");
+        SCOPED_TRACE(other ? "with another endpoint" : "without another endpoint");
         std::promise<void> release;
         std::shared_future<void> released = release.get_future().share();
         FakeServer old([&](Wire& wire, const HttpRequest&, int) {
@@ -51,7 +51,7 @@
     EXPECT_EQ(sidecar.driver.totals().attempts, 2u);
 }
 
-// The endpoint has moved to another address; another one may be at the old address by now.
+// The endpoint has moved to another address; another endpoint may be at the old address by now.
 TEST(EndpointList, PendingConnectionFollowsMovedEndpoint) {
     Silent old_address;
     FakeServer new_address;
@@ -70,12 +70,13 @@
     EXPECT_EQ(new_address.seen().size(), 1u);
 }
 
-// An endpoint that starts after a step of the wall clock reports its start by the clock as it is then. Its
-// slow start must begin and end as without the step.
+// An endpoint that starts after a step of the wall clock reports its start time by the changed clock. Its
+// slow start must start and end at the same times as without the step.
 TEST(WallClock, StepDoesNotChangeSlowStart) {
     constexpr Millis kHour = 3600e3, kSlowStartDuration = 20000;
     const auto share_of_new = [&](Millis step, Millis age) {
-        // The slower of two equal endpoints is chosen less: after its slow start the new one is the better.
+        // Of two endpoints, the slower one is chosen less often: after its slow start the new endpoint is the
+        // faster one.
         FakeServer new_endpoint, old_endpoint([](Wire&w, const HttpRequest&, int) {
             std::this_thread::sleep_for(std::chrono::milliseconds(4));
             return w.respond(200, "fine"), true;
--- a/tests/proxy/listener_test.cpp
+++ b/tests/proxy/listener_test.cpp
@@ -1,5 +1,5 @@
-// Limits of the listener: which connections are closed for silence or for new ones, and shortage of
-// descriptors.
+// Limits of the listener: which connections are closed because they are silent or for new connections, and a
+// shortage of descriptors.
 #include "proxy/listener.hpp"
 
 #include <sys/resource.h>
@@ -9,8 +9,8 @@
 namespace ochregrade::sidecar {
 namespace {
 
-// The read timeout expires when the request has arrived but was not read yet.
-TEST(ReadTimeout, SparesConnectionWithUnreadRequest) {
+// The read timeout expires when the request has arrived but has not been read yet.
+TEST(ReadTimeout, DoesNotCloseConnectionWithUnreadRequest) {
     FakeServer server;
     SteppedSidecar sidecar(a_config(kNoAddress, {host("s1", server.at())}));
     App app(sidecar.listener.endpoint());
@@ -30,7 +30,7 @@
     EXPECT_EQ(sidecar.listener.connections(), 0u);
 }
 
-// A slow client's connection is evicted for a new one, but not when its whole request is in the kernel.
+// A slow client's connection is evicted for a new one, but not if its whole request is in the kernel.
 TEST(ConnectionEviction, SparesConnectionWithCompleteUnreadRequest) {
     FakeServer server;
     SteppedSidecar sidecar(a_config(kNoAddress, {host("s1", server.at())}), {1, 1 << 20});
@@ -40,7 +40,7 @@
     ASSERT_TRUE(sidecar.until([&] { return sidecar.listener.connections() == 1; }));
     sidecar.turn();
     sidecar.clock.skip(200);
-    App late(sidecar.listener.endpoint());  // its event is handled first
+    App late(sidecar.listener.endpoint());  // its connection event is handled first
     slow.wire.write(text.substr(20));
     EXPECT_EQ(sidecar.answer(slow).result_int(), 200u);
     EXPECT_EQ(sidecar.ask(late, App::request("listen")).result_int(), 200u);
@@ -70,7 +70,8 @@
     }
 }
 
-// Near the limit each response closes its connection, so that no idle one keeps the next from being accepted.
+// Near the connection limit, each connection is closed after its response, so that no idle connection
+// prevents the next one from being accepted.
 TEST(Listener, ClosesConnectionAfterResponseNearItsLimit) {
     FakeServer server;
     json config = a_config(kNoAddress, {host("s1", server.at())});
@@ -88,7 +89,7 @@
     EXPECT_GT(apps.size(), 10U);
 }
 
-// Silent connections are evicted first; those in use are kept.
+// Silent connections are evicted first; connections in use are not evicted.
 TEST(ConnectionEviction, ClosesSilentConnectionsBeforeUsedOnes) {
     FakeServer server;
     json config = a_config(kNoAddress, {host("s1", server.at())});
@@ -103,7 +104,7 @@
     EXPECT_EQ(in_use.ask(App::request("listen")).result_int(), 200u);
 }
 
-// All bodies together are bounded, and their memory is given back.
+// The memory for all bodies together is bounded, and released after use.
 TEST(Listener, BodiesShareBoundedMemory) {
     std::promise<void> release;
     std::shared_future<void> released = release.get_future().share();
@@ -111,7 +112,7 @@
         return released.wait(), wire.respond(200, "fine"), true;
     });
     json config = a_config(kNoAddress, {host("s1", server.at())});
-    config["limits"] = {{"sockets", 256}, {"memory_mb", 1}};  // room for one body of full size
+    config["limits"] = {{"sockets", 256}, {"memory_mb", 1}};  // memory for one body of full size
     Running sidecar(config);
     const std::string body(60000, 'x');
     App first(sidecar.at), second(sidecar.at), small(sidecar.at);
@@ -126,7 +127,7 @@
     EXPECT_EQ(first.ask(App::request("deposit", "25000m", body)).result_int(), 200u);
 }
 
-// While all others are busy, a new connection is kept until its request has come.
+// While all other connections are busy, a new connection is not evicted before its request has arrived.
 TEST(ConnectionEviction, KeepsNewestConnectionWhileOthersAreBusy) {
     std::promise<void> release;
     std::shared_future<void> released = release.get_future().share();
@@ -151,8 +152,8 @@
     EXPECT_EQ(late.answer().result_int(), 200u);
 }
 
-// More than 1,024 of both: the last sidecar of 1,025 uses its share of 1,025 endpoints, and applies changes
-// of any of them.
+// A fleet of more than 1,024 sidecars with more than 1,024 endpoints: the last of 1,025 sidecars uses its
+// share of 1,025 endpoints, and applies changes of any endpoint.
 TEST(FleetSize, Supports1025SidecarsAndEndpoints) {
     constexpr int kFleetSize = 1025;
     FakeServer server, other;
@@ -173,7 +174,8 @@
     App app(sidecar.at);
     for (int i = 0; i < 50; ++i) ASSERT_EQ(app.ask(App::request("listen")).result_int(), 200u) << i;
     EXPECT_EQ(sidecar.usage().endpoints, static_cast<std::size_t>(kFleetSize));
-    // All but one move; the endpoint that is drawn next has moved, or is that one.
+    // All endpoints but one move to another address; the next request goes to a moved endpoint or to that
+    // one.
     for (json& h : hosts) h["dial"] = other.at();
     hosts[0]["dial"] = server.at();
     discovery.say(6, true, hosts);
--- a/tests/proxy/pipelined_requests_test.cpp
+++ b/tests/proxy/pipelined_requests_test.cpp
@@ -1,4 +1,4 @@
-// Pipelined requests: their order, and their deadlines while an earlier one is being served.
+// Pipelined requests: their order, and their deadlines while an earlier request is being served.
 #include "proxy/pipelined_requests.hpp"
 
 #include "support/stepped_sidecar.hpp"
@@ -6,12 +6,12 @@
 namespace ochregrade::sidecar {
 namespace {
 
-// Responses are sent in order: a request that takes all its time delays those behind it, whose responses are
-// due 0.5 s after their own deadlines.
+// Responses are sent in order: a request that takes all its time delays the requests pipelined behind it,
+// whose responses are due 0.5 s after their own deadlines.
 TEST(PipelinedRequests, RequestEndsBeforeResponsesBehindItAreDue) {
     constexpr double kDeadlineBehind = 0.3, kGrace = 0.5, kSlack = 0.2;  // seconds
-    std::promise<void> go;
-    auto released = go.get_future().share();
+    std::promise<void> release;
+    auto released = release.get_future().share();
     FakeServer unresponsive([&](Wire&, const HttpRequest&, int) { return released.wait(), false; });
     Running sidecar(a_config(kNoAddress, {host("s1", unresponsive.at())}));
     App app(sidecar.at);
@@ -21,7 +21,7 @@
     EXPECT_EQ(app.answer().result_int(), 503u);
     EXPECT_LT(std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count(),
               kDeadlineBehind + kGrace + kSlack);
-    go.set_value();
+    release.set_value();
 }
 
 TEST(PipelinedRequests, RequestKeepsItsDeadlineIfThoseBehindItHaveTime) {
--- a/tests/proxy/request_validation_test.cpp
+++ b/tests/proxy/request_validation_test.cpp
@@ -1,4 +1,4 @@
-// Invalid requests: each is rejected with a fitting status and reaches no endpoint.
+// Invalid requests: each is rejected with the status for its fault and reaches no endpoint.
 #include "proxy/request_validation.hpp"
 
 #include "support/stepped_sidecar.hpp"
@@ -10,7 +10,7 @@
     const char* name;
     std::string text;
     unsigned status;
-    bool closes;  // the rest of the connection can't be delimited, or is not worth reading
+    bool closes;  // the connection's further bytes can't be delimited, or are not read
 };
 std::ostream& operator<<(std::ostream& out, const InvalidRequest& invalid) { return out << invalid.name; }
 
@@ -124,7 +124,8 @@
 
 class InvalidRequests : public testing::TestWithParam<InvalidRequest> {};
 
-// Rejected with a fitting status; it reaches no endpoint, and the sidecar keeps serving.
+// The request is rejected with the status for its fault and reaches no endpoint, and the sidecar serves
+// further requests.
 TEST_P(InvalidRequests, AreRejectedAndReachNoEndpoint) {
     const InvalidRequest& invalid = GetParam();
     FakeServer server;
@@ -135,9 +136,9 @@
         EXPECT_EQ(response.result_int(), invalid.status);
         EXPECT_EQ(response.keep_alive(), !invalid.closes);
         if (invalid.closes)
-            app.wire.rest();  // until it ends
+            app.wire.rest();  // reads until the connection is closed
         else
-            EXPECT_EQ(app.ask(App::request("listen")).result_int(), 200u) << "the connection stays usable";
+            EXPECT_EQ(app.ask(App::request("listen")).result_int(), 200u) << "the connection stays open";
     }
     EXPECT_EQ(server.seen().size(), invalid.closes ? 0u : 1u);
     App app(sidecar.at);
--- a/tests/proxy/rule_guard_test.cpp
+++ b/tests/proxy/rule_guard_test.cpp
@@ -1,4 +1,5 @@
-// The rule guard's checks of sends, rejections, answers and closes: each reason, and which are violations.
+// The rule guard's checks of sends, rejections, final responses and closes: each reason, and which reasons
+// are violations.
 #include "proxy/rule_guard.hpp"
 
 #include <gtest/gtest.h>
@@ -14,10 +15,10 @@
     request.deadline = 1000;
     request.max_attempts = 3;
     request.attempts.push_back({1, 7, 0, 100, false, true});
-    request.attempts.push_back({2, 7, 0, 200, true, false});  // the one that is checked
+    request.attempts.push_back({2, 7, 0, 200, true, false});  // the attempt that is checked
     return request;
 }
-constexpr std::size_t kSecond = 1;
+constexpr std::size_t kSecondAttempt = 1;
 const EndpointFacts kServing{true, 7, 0};
 
 struct SendCase {
@@ -32,8 +33,8 @@
     const SendCase cases[] = {
         {"allowed", Idempotency::idempotent, [](auto&, auto&, auto&) {}, {}},
         {"keyed in scope", Idempotency::idempotent_with_key, [](auto&, auto&, auto&) {}, {}},
-        {"client left", Idempotency::idempotent, [](auto& r, auto&, auto&) { r.client_disconnected = true; },
-         client_disconnected},
+        {"client disconnected", Idempotency::idempotent,
+         [](auto& r, auto&, auto&) { r.client_disconnected = true; }, client_disconnected},
         {"answered", Idempotency::idempotent, [](auto& r, auto&, auto&) { r.answered = true; }, answered},
         {"deadline", Idempotency::idempotent, [](auto&, auto&, auto& now) { now = 1000; }, deadline_passed},
         {"draining", Idempotency::idempotent, [](auto&, auto& s, auto&) { s.serving = false; },
@@ -62,7 +63,7 @@
         EndpointFacts server = kServing;
         Millis now = 300;
         c.change(request, server, now);
-        EXPECT_EQ(guard.check_send(request, kSecond, server, now), c.expected);
+        EXPECT_EQ(guard.check_send(request, kSecondAttempt, server, now), c.expected);
         EXPECT_EQ(guard.counts().all_violations(), c.expected && is_violation(*c.expected) ? 1U : 0U);
     }
 }
@@ -76,7 +77,7 @@
     RequestFacts everywhere = request_of(Idempotency::idempotent_with_key);
     everywhere.kind.dedup_scope = DedupScope::all;
     EXPECT_TRUE(guard.check_rejection(everywhere, 300));
-    EXPECT_FALSE(guard.check_rejection(everywhere, 700)) << "the servers have forgotten its key";
+    EXPECT_FALSE(guard.check_rejection(everywhere, 700)) << "its deduplication window has ended";
     EXPECT_EQ(guard.counts().all_violations(), 3U);
 }
 
--- a/tests/proxy/system_call_faults_test.cpp
+++ b/tests/proxy/system_call_faults_test.cpp
@@ -1,4 +1,4 @@
-// The real program under failures of system calls, injected by the fault shim (tests/soak/fault_shim.cpp).
+// The real program while the fault shim (tests/soak/fault_shim.cpp) makes its system calls fail.
 #include <fcntl.h>
 #include <sys/mman.h>
 #include <sys/stat.h>
@@ -63,7 +63,7 @@
     EXPECT_EQ(app.answer().body(), "late");
     const bool ends = ended.wait_for(std::chrono::seconds(10)) == std::future_status::ready;
     EXPECT_TRUE(ends) << "its event loop is blocked";
-    if (!ends) try_asking(f.listen, kHealth);  // wakes it
+    if (!ends) try_asking(f.listen, kHealth);  // wakes the event loop
     EXPECT_EQ(ended.get(), 0);
 }
 
@@ -98,9 +98,9 @@
         const timeval patience{3, 0};
         ::setsockopt(app.wire.socket.native_handle(), SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
         for (int i = 0; i < 40; ++i) {
-            const HttpResponse answer = app.ask(App::request("deposit", "2000m", body));
-            ASSERT_EQ(answer.result_int(), 200u) << "request " << i;
-            ASSERT_EQ(answer.body(), body);
+            const HttpResponse response = app.ask(App::request("deposit", "2000m", body));
+            ASSERT_EQ(response.result_int(), 200u) << "request " << i;
+            ASSERT_EQ(response.body(), body);
         }
         EXPECT_GT(f.faults.injected(slot), 0);
         f.faults.set(slot, 0);
@@ -109,7 +109,8 @@
 
 // ---- Local errors of connect
 
-// A short lack of ports or routes on this machine counts against no endpoint and uses no attempt.
+// A short lack of ports, routes or buffers on this machine must not count against an endpoint or use up an
+// attempt.
 TEST(LocalConnectError, IsRetriedWithoutUsingAnAttempt) {
     FakeServer server([](Wire& w, const HttpRequest&, int) {
         return w.respond(200, "fine", "Connection: close\r\n"), false;
@@ -120,18 +121,18 @@
     f.config["settings"]["limits"]["max-attempts"] = 1;
     f.place.write(f.config.dump());
     const auto process = f.start();
-    std::size_t asked = 0;
+    std::size_t requests_sent = 0;
     for (const Slot fault : {kConnectLocal, kSocketNoBuffers}) {
         SCOPED_TRACE(fault);
         f.faults.set(fault, 0.3);
         for (int i = 0; i < 200 && f.faults.injected(fault) < 5; ++i) {
-            ++asked;
+            ++requests_sent;
             ASSERT_EQ(App(f.listen).ask(App::request("deposit")).result_int(), 200u) << "request " << i;
         }
         f.faults.set(fault, 0);
         EXPECT_GE(f.faults.injected(fault), 5);
     }
-    EXPECT_EQ(server.seen().size(), asked);
+    EXPECT_EQ(server.seen().size(), requests_sent);
 }
 
 // ---- Startup
@@ -147,7 +148,7 @@
     EXPECT_EQ(process->end(SIGTERM), 0);
 }
 
-TEST(Startup, AddressInUseExitsWithTwoAndNamesIt) {
+TEST(Startup, AddressInUseExitsWithStatus2AndNamesAddress) {
     Fixture f;
     asio::io_context io;
     for (const tcp::endpoint& taken : {f.listen, f.admin}) {
@@ -159,9 +160,9 @@
     }
 }
 
-// ---- A log that is not read
+// ---- A log pipe that is not read
 
-// A full pipe at `path`.
+// A named pipe at `path` whose buffer is full.
 class FullPipe {
 public:
     explicit FullPipe(const std::string& path) {
--- a/tests/proxy/trace_test.cpp
+++ b/tests/proxy/trace_test.cpp
@@ -1,4 +1,4 @@
-// The trace of one request and the counters by reason.
+// The trace of one request, and the metrics that count by reason.
 #include "support/process_fixture.hpp"
 
 namespace ochregrade::sidecar {
--- a/tests/proxy/unread_time_test.cpp
+++ b/tests/proxy/unread_time_test.cpp
@@ -1,4 +1,4 @@
-// Time that passes while a request is unread in the kernel, and the deadline that an endpoint is told.
+// The time for which a request is unread in the kernel, and the time left that is sent to an endpoint.
 #include "proxy/unread_time.hpp"
 
 #include "support/stepped_sidecar.hpp"
@@ -6,39 +6,39 @@
 namespace ochregrade::sidecar {
 namespace {
 
-// The time left that an endpoint was told, in milliseconds.
+// The time left that was sent to an endpoint, in milliseconds.
 Millis propagated_time_left(const HttpRequest& request) {
     const std::string text(request["X-Time-Left"]);
     return std::stod(text.substr(0, text.size() - 1)) / 1000;
 }
 
-// The client's time runs while this process is paused and its request is unread in the kernel.
+// The client's time left also runs while this process is paused and the request is unread in the kernel.
 TEST(PropagatedDeadline, CountsTimeWhileProcessIsPaused) {
-    constexpr Millis kTime = 4000, kPaused = 600, kSlack = 150;
+    constexpr Millis kTimeLeft = 4000, kPause = 600, kSlack = 150;
     FakeServer server;
     SteppedSidecar sidecar(a_config(kNoAddress, {host("s1", server.at())}));
     App idle(sidecar.listener.endpoint());
     ASSERT_EQ(sidecar.ask(idle, kHealthRequest).result_int(), 200u);
     const auto several_checks =
-        std::chrono::milliseconds(120);  // the listener looks at its connections every 50 ms
+        std::chrono::milliseconds(120);  // the listener's deadline check runs every 50 ms
     sidecar.io.restart(), sidecar.io.run_for(several_checks);
     App fresh(sidecar.listener.endpoint());
     idle.wire.write(App::request("listen", "4000m"));
     fresh.wire.write(App::request("listen", "4000m"));
-    std::this_thread::sleep_for(std::chrono::milliseconds(static_cast<int>(kPaused)));
+    std::this_thread::sleep_for(std::chrono::milliseconds(static_cast<int>(kPause)));
     ASSERT_TRUE(sidecar.until([&] { return server.seen().size() == 2; }));
     for (const HttpRequest& request : server.seen())
-        EXPECT_LE(propagated_time_left(request), kTime - kPaused + kSlack);
-    // Not subtracted any more once all that had waited is read.
+        EXPECT_LE(propagated_time_left(request), kTimeLeft - kPause + kSlack);
+    // Once all bytes that had waited are read, the pause is not subtracted any more.
     sidecar.io.restart(), sidecar.io.run_for(several_checks);
     idle.wire.write(App::request("listen", "4000m"));
     ASSERT_TRUE(sidecar.until([&] { return server.seen().size() == 3; }));
-    EXPECT_GT(propagated_time_left(server.seen().back()), kTime - kPaused);
+    EXPECT_GT(propagated_time_left(server.seen().back()), kTimeLeft - kPause);
 }
 
-// The same for a pipelined request.
+// The client's time left also runs while its request is pipelined behind another.
 TEST(PropagatedDeadline, CountsTimeWhilePipelinedRequestWaits) {
-    constexpr Millis kTime = 4000, kTurn = 500, kSlack = 150;
+    constexpr Millis kTimeLeft = 4000, kServiceTime = 500, kSlack = 150;
     FakeServer server([](Wire& w, const HttpRequest&, int number) {
         if (number == 0) std::this_thread::sleep_for(std::chrono::milliseconds(500));
         return w.respond(200, "fine"), true;
@@ -47,13 +47,13 @@
     App app(sidecar.listener.endpoint());
     app.wire.write(App::request("listen", "4000m") + App::request("listen", "4000m"));
     ASSERT_TRUE(sidecar.until([&] { return server.seen().size() == 2; }));
-    EXPECT_LE(propagated_time_left(server.seen().back()), kTime - kTurn + kSlack);
+    EXPECT_LE(propagated_time_left(server.seen().back()), kTimeLeft - kServiceTime + kSlack);
 }
 
 // The time left is exact when it is computed, but the process may be delayed by up to 0.15 s before its
-// write, and the network takes time too. Of short times only a small share is subtracted.
+// write, and the network takes time too. Only a small share is subtracted from a short time left.
 TEST(PropagatedDeadline, LeavesMarginForDelayBeforeWrite) {
-    constexpr Millis kLong = 2000, kShort = 400, kMargin = 20, kLeastShare = 0.85;
+    constexpr Millis kLong = 2000, kShort = 400, kMargin = 20, kMinShare = 0.85;
     FakeServer server;
     SteppedSidecar sidecar(a_config(kNoAddress, {host("s1", server.at())}));
     App app(sidecar.listener.endpoint());
@@ -61,7 +61,7 @@
     ASSERT_EQ(sidecar.ask(app, App::request("listen", "400m")).result_int(), 200u);
     EXPECT_LE(propagated_time_left(server.seen().at(0)), kLong - kMargin);
     EXPECT_LE(propagated_time_left(server.seen().at(1)), kShort - kMargin);
-    EXPECT_GE(propagated_time_left(server.seen().at(1)), kShort * kLeastShare);
+    EXPECT_GE(propagated_time_left(server.seen().at(1)), kShort * kMinShare);
 }
 
 }  // namespace
--- a/tests/proxy/upstream_connection_test.cpp
+++ b/tests/proxy/upstream_connection_test.cpp
@@ -13,13 +13,13 @@
     EXPECT_EQ(app.ask(App::request("deposit")).result_int(), 503u);
 }
 
-// A request whose last byte was not sent never ran. It is larger here than what the two kernels hold for a
-// server that does not read.
+// A request whose last byte was not sent never ran. The request here is larger than what the kernel buffers
+// on both sides hold for a server that does not read.
 TEST(UpstreamConnection, ResetBeforeLastByteCountsAsNotRun) {
     Acceptor server(
         [](Wire& wire) {
             char byte;
-            ::recv(wire.socket.native_handle(), &byte, 1, MSG_PEEK);  // the request has begun to arrive
+            ::recv(wire.socket.native_handle(), &byte, 1, MSG_PEEK);  // the request has started to arrive
             wire.reset();
         },
         2048);
@@ -64,8 +64,8 @@
     App app(sidecar.at);
     discovery.wait_for(1);
     app.wire.write(App::request("deposit"));
-    // It connects before or after the list is applied: either way the response must come from the other
-    // endpoint.
+    // The connection is established before or after the list is applied. In both cases the response must come
+    // from the other endpoint.
     discovery.say(6, false, {host("s1", draining.at(), "DRAINING"), host("s2", other.at())});
     const auto start = std::chrono::steady_clock::now();
     EXPECT_EQ(app.answer().result_int(), 200u);
@@ -121,7 +121,7 @@
     EXPECT_EQ(app.ask(App::request("deposit")).body(), "fine");
 }
 
-// A second response that comes with the first must not be taken for the next request's.
+// A second response that arrives with the first must not be taken for the response to the next request.
 TEST(UpstreamConnection, BytesBehindResponseAreDiscarded) {
     const std::string first = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst";
     FakeServer server([&](Wire& wire, const HttpRequest&, int number) {
@@ -134,8 +134,8 @@
     EXPECT_EQ(server.connections(), 2);
 }
 
-// When the connection for the second attempt is established, the deduplication window of the key has ended:
-// an attempt written now could run the request twice.
+// The deduplication window of the key ends before the connection for the second attempt is established: an
+// attempt written after that could run the request twice.
 TEST(UpstreamConnection, NothingIsWrittenAfterDeduplicationWindow) {
     std::promise<void> release;
     FakeServer first([&](Wire& wire, const HttpRequest&, int) {
@@ -151,15 +151,15 @@
     sidecar.list({host("s1", first.at(), "DRAINING"), host("s2", second.at())});
     sidecar.turn();
     release.set_value();
-    // The second attempt is connecting: the kernel has established its connection, which has not been handled
-    // yet.
+    // The second attempt is connecting: the kernel has established its connection, but the sidecar has not
+    // handled that yet.
     while (sidecar.driver.totals().attempts < 2) sidecar.io.restart(), sidecar.io.run_one();
     sidecar.clock.skip(10000);
     EXPECT_EQ(sidecar.answer(app).result_int(), 502u);
     EXPECT_TRUE(second.seen().empty());
 }
 
-// The same with a partly written request.
+// The rest of a partly written request is not written either when the deduplication window has ended.
 TEST(UpstreamConnection, RestOfRequestIsNotWrittenAfterDeduplicationWindow) {
     PartlyWrittenRequest request(10000);
     request.pool.clock.skip(10000);
--- a/tests/proxy/upstream_pool_test.cpp
+++ b/tests/proxy/upstream_pool_test.cpp
@@ -16,7 +16,7 @@
         closed.notify_all();
         return false;
     });
-    SteppedUpstreamPool pool({1000, 15000, 50, 0});  // used again at once
+    SteppedUpstreamPool pool({1000, 15000, 50, 0});  // connections are reused at once
     for (int i = 0; i < 20; ++i) {
         pool.send(1, server.at()), pool.run();
         ASSERT_EQ(pool.outcomes.back(), Outcome::success) << i;
@@ -25,7 +25,7 @@
     EXPECT_EQ(server.seen().size(), 20u);
 }
 
-// Bytes that an endpoint sends behind its response, however late, are not taken for another response.
+// Bytes that an endpoint sends behind its response, however late, must not be taken for another response.
 TEST(UpstreamPool, LateExtraResponseIsDiscarded) {
     std::promise<void> release, extra_sent;
     std::shared_future<void> released = release.get_future().share();
@@ -39,7 +39,7 @@
         ended.set_value(wire.ended());
         return false;
     });
-    SteppedUpstreamPool pool({1000, 15000, 50, 0});  // used again at once
+    SteppedUpstreamPool pool({1000, 15000, 50, 0});  // connections are reused at once
     pool.send(1, server.at()), pool.run();
     release.set_value();
     extra_sent.get_future().get();
@@ -49,7 +49,8 @@
     EXPECT_EQ(server.connections(), 2);
 }
 
-// A connection is used again only after the quiet period: it may still send more behind its response.
+// A connection is reused only after the quiet period: the endpoint may still send more bytes behind its
+// response.
 TEST(UpstreamPool, ConnectionIsReusedOnlyAfterQuietPeriod) {
     FakeServer server;
     for (const bool quiet_period_over : {false, true}) {
@@ -64,8 +65,8 @@
     }
 }
 
-// Nothing is kept of endpoints that were withdrawn while an attempt was in flight, nor of thousands of them.
-// A new endpoint at the same address starts with a connection of its own.
+// The pool keeps no state of removed endpoints, even of thousands of them or with an attempt in flight at the
+// removal. A new endpoint at the same address starts with a new connection.
 TEST(UpstreamPool, NothingIsKeptOfRemovedEndpoints) {
     FakeServer server;
     SteppedUpstreamPool pool({1000, 15000, 50, 0});
@@ -85,7 +86,7 @@
     EXPECT_EQ(server.connections(), 2000);
 }
 
-// A shortage of descriptors is the sidecar's own and must not count against an endpoint.
+// A shortage of descriptors is a local fault of the sidecar and must not count against an endpoint.
 TEST(UpstreamPool, ConnectionLimitDoesNotCountAgainstEndpoint) {
     Silent silent;
     SteppedUpstreamPool pool({60000, 15000, 1, 0});
@@ -105,7 +106,7 @@
     }
     EXPECT_EQ(pool.outcomes, (std::vector<Outcome>{Outcome::success, Outcome::not_sent}));
     EXPECT_EQ(pool.upstream.open(), 1u);
-    {  // a short one is retried
+    {  // after a short shortage the connect is retried
         const NoDescriptors none;
         pool.send(2, second.at());
     }
@@ -114,7 +115,7 @@
     EXPECT_EQ(pool.upstream.open(), 2u);
 }
 
-// The process was paused, and its timers have not fired yet when it continues.
+// The process was paused beyond the idle limit, and its timers have not fired yet when it continues.
 TEST(UpstreamPool, ExpiredIdleConnectionIsNotReusedBeforeItsTimerFires) {
     FakeServer server;
     SteppedUpstreamPool pool({1000, 15000, 10, 0});
@@ -140,7 +141,7 @@
     EXPECT_TRUE(closed.get_future().get());
 }
 
-// One outcome of each kind, in turn.
+// Responds with one kind of outcome after another.
 const FakeServer::Reply kMixedOutcomes = [](Wire& wire, const HttpRequest&, int number) {
     if (number % 5 == 0) return wire.reset(), false;
     if (number % 5 == 1) return wire.write("ICY 200 OK\r\n\r\n"), true;
@@ -149,9 +150,9 @@
     return wire.respond(200, "fine"), true;
 };
 
-// At rest the balancer's count of attempts and that of the sockets agree, however attempts ended, and nothing
-// is kept of thousands of endpoints that have been added and removed. The balancer keeps an endpoint while it
-// counts an attempt or probe in flight to it.
+// While no request is being served, neither the balancer nor the sockets count an attempt, however attempts
+// ended, and no state is kept of thousands of endpoints that were added and removed. The balancer keeps an
+// endpoint while it counts an attempt or probe in flight to that endpoint.
 TEST(UpstreamPool, AtRestNothingIsInFlightAndOnlyListedEndpointsAreKept) {
     FakeServer mixed(kMixedOutcomes);
     FakeDiscovery discovery;
@@ -168,7 +169,7 @@
     for (int round = 0; round < 5; ++round) {
         App app(sidecar.at);
         for (int i = 0; i < 5; ++i) app.ask(App::request("deposit", "100m"));
-        app.wire.write(App::request("deposit", "100m"));  // and disconnects
+        app.wire.write(App::request("deposit", "100m"));  // the client disconnects before the response
         std::vector<json> added, removed;
         for (int i = 0; i < 500; ++i) {
             const std::string name = std::to_string(round * 500 + i);
