--- a/src/proxy/balancer_driver.hpp
+++ b/src/proxy/balancer_driver.hpp
@@ -103,8 +103,8 @@
     /// Checks every action that a rule of the protocol may forbid.
     RuleGuard& rule_guard() { return rule_guard_; }
     const RuleGuard& rule_guard() const { return rule_guard_; }
-    /// What the driver, the upstream connections and the balancer hold now. While no request is being served,
-    /// `requests` and `attempts` are 0 and only the listed endpoints are counted.
+    /// What the driver, the upstream connections and the balancer hold now. Once all requests and attempts
+    /// have ended, `requests` and `attempts` are 0 and only the listed endpoints are counted.
     struct Usage {
         std::size_t requests = 0, attempts = 0, endpoints = 0, known_endpoints = 0, pools = 0,
                     connections = 0, ejected = 0;
--- a/src/proxy/listener.hpp
+++ b/src/proxy/listener.hpp
@@ -41,7 +41,7 @@
     void drain(Millis deadline);
     /// Rejects requests that have not arrived completely, with 408.
     void reject_incomplete();
-    /// Closes the connections that have no request, neither read nor unread in the kernel.
+    /// Closes idle connections without unread bytes in the kernel, except new ones (is_quiet()).
     void close_idle();
     /// Accepts the connections in the kernel's accept queue, then closes the listening socket. Returns false
     /// if connections may be left in the queue, above all because no descriptor is free; the caller then has
--- a/src/proxy/upstream_connection.cpp
+++ b/src/proxy/upstream_connection.cpp
@@ -15,8 +15,8 @@
 // memory, and an endless response fills the buffer at once.
 constexpr int kUpstreamReceiveBuffer = 64 * 1024;
 
-// Milliseconds subtracted from the time left that is sent to an endpoint, but at most this share of the time
-// left.
+// The time left that is sent to an endpoint is reduced by kDeadlineMargin (milliseconds), but at most by
+// kDeadlineMarginShare of the time left.
 constexpr Millis kDeadlineMargin = 25;
 constexpr double kDeadlineMarginShare = 0.1;
 
--- a/tests/proxy/pipelined_requests_test.cpp
+++ b/tests/proxy/pipelined_requests_test.cpp
@@ -33,7 +33,7 @@
     App app(sidecar.at);
     app.wire.write(App::request("deposit", "5000m") + App::request("listen", "5000m"));
     EXPECT_EQ(app.answer().result_int(), 200u);
-    app.wire.write(App::request("listen", "300m"));  // behind a short request
+    app.wire.write(App::request("listen", "300m"));  // pipelined behind a short request
     EXPECT_EQ(app.answer().result_int(), 200u);
     EXPECT_EQ(app.answer().result_int(), 200u);
 }
