--- a/bench/guarantee_rows.py
+++ b/bench/guarantee_rows.py
@@ -151,7 +151,7 @@
     ),
     Guarantee(
         "waiting behind pipelined requests counts as time spent",
-        [Edit(SESSION, "if (input_.size() > 0) pipelined_since_ = request_began_;", "")],
+        [Edit(SESSION, "if (input_.size() > 0) pipelined_since_ = request_started_at_;", "")],
         PROXY_TESTS,
         "PropagatedDeadline.CountsTimeWhilePipelinedRequestWaits",
     ),
@@ -253,7 +253,7 @@
         "idle connections are checked for bytes before they are closed",
         [Edit(SESSION, "if (state_ == State::idle && has_unread_bytes()) return;", "")],
         PROXY_TESTS,
-        "ReadTimeout.SparesConnectionWithUnreadRequest",
+        "ReadTimeout.DoesNotCloseConnectionWithUnreadRequest",
     ),
     Guarantee(
         "slow connections are checked for bytes before they are evicted",
@@ -372,8 +372,8 @@
         [
             Edit(
                 CONNECTION,
-                "clock_.point(std::min(give_up, exchange_->write_deadline))",
-                "clock_.point(give_up)",
+                "clock_.point(std::min(connect_deadline, exchange_->write_deadline))",
+                "clock_.point(connect_deadline)",
             ),
             Edit(
                 CONNECTION,
@@ -562,7 +562,7 @@
                 "    if (request.ended) return;\n    request.ended = true;",
                 "    request.ended = true;",
             ),
-            Edit(SESSION, "    if (state_ != State::waiting) return;  // the client has left\n", ""),
+            Edit(SESSION, "    if (state_ != State::waiting) return;  // the client has disconnected\n", ""),
             *CLOSED_WHEN_OVER,
         ],
         PROXY_TESTS,
@@ -589,7 +589,7 @@
     Guarantee(
         "reading continues while a request waits",
         [
-            Edit(SESSION, "    receive();\n}\n\n// Gives back", "}\n\n// Gives back"),
+            Edit(SESSION, "    receive();\n}\n\n// Releases", "}\n\n// Releases"),
             Edit(SESSION, "    if (state_ == State::waiting) receive();\n", ""),
         ],
         PROXY_TESTS,
@@ -740,7 +740,7 @@
         [
             Edit(
                 SESSION,
-                "std::max(request_began_ + kReadTimeout, now + kMinReadTimeout)",
+                "std::max(request_started_at_ + kReadTimeout, now + kMinReadTimeout)",
                 "now + kReadTimeout",
             )
         ],
