--- a/src/fleet/gossip_transport.hpp
+++ b/src/fleet/gossip_transport.hpp
@@ -1,5 +1,6 @@
-// UDP transport between the sidecars of a fleet: short datagrams that may be late or lost without harm. The
-// sender of a datagram is identified by its address; datagrams from other addresses are dropped.
+// UDP transport of gossip between the sidecars of a fleet. Datagrams are short and may be late or lost. The
+// sender of a datagram is identified by its address; datagrams from addresses that belong to no peer are
+// dropped.
 #pragma once
 
 #include <array>
@@ -21,15 +22,15 @@
     /// Throws boost::system::system_error if the address can't be bound.
     GossipTransport(asio::io_context& io, const udp::endpoint& local, OnReceived on_received);
 
-    /// The addresses behind the indices from now on; `broadcast` reaches all peers at once.
+    /// Sets the address of each peer, by index. `broadcast`: an address that reaches all peers.
     void set_peers(std::vector<udp::endpoint> peers, std::optional<udp::endpoint> broadcast);
     /// Starts receiving; to be called once.
     void listen();
-    /// Closes the socket; pending operations keep this object alive until they end.
+    /// Closes the socket; pending operations keep this object alive until they have ended.
     void stop();
     udp::endpoint endpoint() const { return local_; }
 
-    /// `to`: index of a peer; none: the broadcast address. Errors count as a lost datagram.
+    /// `to`: index of a peer; none: the broadcast address. Errors are ignored: the datagram is lost.
     void send(std::optional<std::uint32_t> to, const std::vector<std::uint8_t>& bytes);
 
 private:
@@ -41,8 +42,8 @@
     bool stopped_ = false;
     OnReceived on_received_;
     udp::socket socket_;
-    udp::endpoint sender_;                                      // of the datagram in buffer_
-    std::array<std::uint8_t, kMaxDatagramBytes + 1> buffer_{};  // one byte more detects oversized datagrams
+    udp::endpoint sender_;                                      // source address of the datagram in buffer_
+    std::array<std::uint8_t, kMaxDatagramBytes + 1> buffer_{};  // one more byte detects oversized datagrams
 };
 
 }  // namespace ochregrade::sidecar
--- a/src/fleet/replication_driver.hpp
+++ b/src/fleet/replication_driver.hpp
@@ -1,5 +1,6 @@
-// Runs the replica on the sidecar's event loop: its datagrams to and from the transport, its timer, and its
-// view to the sidecar. It takes no decisions. Source: docs/REPLICATION.md.
+// Runs the replica on the sidecar's event loop: passes datagrams between replica and transport, runs the
+// replica's timer, and notifies the sidecar of changed evidence and of newer versions. Times are Unix
+// milliseconds. Source: docs/REPLICATION.md.
 #pragma once
 
 #include <functional>
@@ -16,14 +17,14 @@
 
 class ReplicationDriver {
 public:
-    /// Called on the event loop, from within calls of the driver or its timer; never after its destruction.
-    /// They must not destroy the driver.
+    /// Called on the event loop, from within functions of the driver or its timer handler, and never after
+    /// the destruction of the driver. The handlers must not destroy the driver.
     struct Handlers {
-        /// `to`: a member; none: all members.
+        /// Sends a datagram. `to`: a member; none: all members.
         std::function<void(std::optional<std::uint32_t> to, const std::vector<std::uint8_t>& bytes)> send;
-        /// The other members' evidence or versions changed. Not called from within publish().
+        /// Evidence or versions of other members have changed. Not called from within publish().
         std::function<void()> changed;
-        /// Others claim to act on a newer endpoint list, or on newer settings: fetch them.
+        /// Each fetches the endpoint list or the settings: other members claim to act on a newer version.
         std::function<void(const replication::VersionId& claimed)> ask_list;
         std::function<void(const replication::VersionId& claimed)> ask_settings;
     };
@@ -31,22 +32,22 @@
     /// `clock` must outlive the driver.
     ReplicationDriver(asio::io_context& io, const Clock& clock, const Config& config, Handlers handlers);
     void start();
-    /// Tells the others that this sidecar leaves; nothing is sent or received afterwards.
+    /// Announces to other members that this sidecar shuts down; sends and receives nothing afterwards.
     void leave();
 
     void receive(std::uint32_t from, const std::vector<std::uint8_t>& bytes);
     void publish(replication::EndpointKey endpoint, const replication::Evidence& evidence);
-    /// What this sidecar acts on. Settings up to epoch `settled` that it does not act on are not meant for
-    /// it.
+    /// Sets the versions that this sidecar acts on. Settings of an epoch up to `settled` are not requested:
+    /// those that this sidecar does not act on are meant for other sidecars.
     void set_versions(const replication::Versions& versions, std::uint32_t settled);
-    /// The endpoint drains or is gone on this sidecar's list. About kWithdrawalReporters members of the
-    /// fleet, drawn by the endpoint's key, publish that.
+    /// To be called when the endpoint is draining in, or removed from, this sidecar's list. About
+    /// kWithdrawalReporters members of the fleet, selected by a hash of the endpoint's key, publish that.
     void report_withdrawn(replication::EndpointKey endpoint);
 
     const replication::VersionFollower& endpoints_follower() const { return list_follower_; }
     const replication::VersionFollower& settings_follower() const { return settings_follower_; }
     const replication::Replica& replica() const { return replica_; }
-    /// Whether it was created for the same member of the same fleet with the same settings.
+    /// Whether the driver was created for the same member id, fleet size and replication settings.
     bool matches(const Config& config) const;
 
 private:
@@ -64,7 +65,7 @@
     Handlers handlers_;
     ReplicationConfig config_;
     replication::Replica replica_;
-    std::vector<replication::Outgoing> outgoing_;  // of the current call
+    std::vector<replication::Outgoing> outgoing_;  // datagrams of the current call
     Millis armed_for_ = 0;                         // 0: the timer is not armed
     Millis started_at_ = 0;
     replication::VersionFollower list_follower_;
--- a/src/replication/anti_entropy.cpp
+++ b/src/replication/anti_entropy.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr std::size_t kMaxAnswerDatagrams = 8;       // for a digest or a summary,
-constexpr std::size_t kMaxPullAnswerDatagrams = 40;  // and for a pull
-constexpr double kAnswersPerSecond = 100;            // datagrams of all answers together
+constexpr std::size_t kMaxAnswerDatagrams = 8;       // in the reply to a digest or a summary
+constexpr std::size_t kMaxPullAnswerDatagrams = 40;  // in the reply to a pull
+constexpr double kAnswersPerSecond = 100;            // datagrams of all replies together
 
 }  // namespace
 
@@ -26,7 +26,7 @@
 
 void AntiEntropy::start(Millis now) {
     answer_budget_.fill(now);
-    // At a random time, so that members started at the same moment do not run in step.
+    // The first delay is random, so that members started at the same moment do not send digests in step.
     if (options_.repair) next_sync_ = now + options_.sync_period * (0.5 + random_.unit());
 }
 
@@ -81,9 +81,9 @@
     return ranges;
 }
 
-// ---- Answers ---------------------------------------------------------------------------------------------
+// ---- Replies ---------------------------------------------------------------------------------------------
 
-// Requests are cheap to send, so all answers together are limited.
+// A request costs its sender little, so the rate of all replies together is limited.
 bool AntiEntropy::may_answer(Millis now) {
     if (answer_budget_.take(now)) return true;
     ++counts_.unanswered;
@@ -93,7 +93,7 @@
 void AntiEntropy::answer_digest(Millis now, MemberId from, const Datagram& digest,
                                 std::vector<Outgoing>& out) {
     std::vector<std::uint8_t> ranges = differing_ranges(digest);
-    // In random order: the same ranges first every time would never reach the others.
+    // Random order: with a fixed order, the limit on datagrams would cut off the same ranges every time.
     for (std::size_t i = ranges.size(); i > 1; --i) std::swap(ranges[i - 1], ranges[random_.below(i)]);
     Datagram summary = sender_.make(Kind::summary);
     std::size_t sent = 0;
@@ -115,7 +115,7 @@
 void AntiEntropy::answer_summary(Millis now, MemberId from, const Datagram& summary,
                                  std::vector<Outgoing>& out) {
     std::vector<MemberId> members;
-    std::vector<Item> items;  // what this member wants in return, then the states
+    std::vector<Item> items;  // requests for the sender's states, then the states to send
     for (const Item& item : summary.items) {
         if (const auto* theirs = std::get_if<FingerprintItem>(&item)) {
             if (!members_.contains(theirs->member) ||
@@ -128,9 +128,9 @@
             if (members_.contains(want->member)) members.push_back(want->member);
     }
     if (members.empty()) return;
-    // Where something differed, more may: the next digest goes out sooner.
+    // Further differences are likely, so the next digest is sent sooner.
     next_sync_ = std::min(next_sync_, now + options_.sync_period / 4);
-    // As a summary only if something is wanted in return; wants are answered by gossip, which ends the
+    // The reply is a summary only if it requests states. The reply to such requests is gossip, which ends the
     // exchange.
     const bool wants_nothing = items.empty();
     Datagram last = sender_.make(wants_nothing ? Kind::gossip : Kind::summary);
@@ -145,7 +145,7 @@
     for (std::size_t i = 0; i < members_.size(); ++i)
         if (std::binary_search(ranges.begin(), ranges.end(), static_cast<std::uint8_t>(range_of(i))))
             members.push_back(static_cast<MemberId>(i));
-    // From a random member on: where the limit cuts one answer short, another member's has the rest.
+    // The reply starts at a random member: if the limit cuts it short, another member's reply has the rest.
     if (!members.empty()) {
         const auto first = static_cast<std::ptrdiff_t>(random_.below(members.size()));
         std::rotate(members.begin(), members.begin() + first, members.end());
@@ -163,8 +163,8 @@
         for (const Item& item : members_.items_of(id)) items.push_back(item);
 }
 
-// In as many datagrams as the items take, up to the limits. `last` is the header of each; its subject is set
-// in the last one alone.
+// Sends the items in as many datagrams as they need, up to the limits. All datagrams have the header of
+// `last`, but only the last datagram has the subject of `last`.
 void AntiEntropy::send_states(Millis now, MemberId to, const std::vector<Item>& items, const Datagram& last,
                               std::vector<Outgoing>& out) {
     const std::size_t max_datagrams = last.subject != 0 ? kMaxPullAnswerDatagrams : kMaxAnswerDatagrams;
--- a/src/replication/anti_entropy.hpp
+++ b/src/replication/anti_entropy.hpp
@@ -1,7 +1,8 @@
-// Anti-entropy: periodically sends a digest to another member, so that two copies find and repair what
-// differs. The exchange narrows down in steps: a hash for each range of members (digest), a fingerprint for
-// each member of the ranges that differ (summary), then the differing states. Source: the hash trees of
-// Dynamo (DeCandia et al. 2007), with two levels.
+// Anti-entropy: each member periodically sends a digest to one other member, and the two exchange the states
+// in which their copies differ. The exchange has three steps: a hash for each range of members (digest), a
+// fingerprint for each member of the ranges that differ (summary), then the states of the members that
+// differ. Times are Unix milliseconds. Source: the hash trees of Dynamo (DeCandia et al. 2007), with two
+// levels.
 #pragma once
 
 #include <array>
@@ -24,14 +25,14 @@
 
     /// Adds a hash for each range of members.
     void add_digest(Datagram& datagram) const;
-    /// Equal where two copies agree.
+    /// Hash of the state of all known members: equal at replicas that agree.
     std::uint32_t fingerprint() const;
-    /// Whether the rate limit of answers admits one more; if not, that is counted.
+    /// Whether the rate limit admits one more reply datagram; each one not admitted is counted.
     bool may_answer(Millis now);
 
     void answer_digest(Millis now, MemberId from, const Datagram& digest, std::vector<Outgoing>& out);
     void answer_summary(Millis now, MemberId from, const Datagram& summary, std::vector<Outgoing>& out);
-    /// Answers a member that is catching up; the last datagram is marked by its subject.
+    /// Replies to a member that is catching up; a subject other than 0 marks the last datagram of the reply.
     void answer_pull(Millis now, MemberId from, const Datagram& pull, std::vector<Outgoing>& out);
 
 private:
--- a/src/replication/broadcaster.cpp
+++ b/src/replication/broadcaster.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-constexpr Millis kCollectTime = 20;  // records published within this share a datagram
-constexpr double kMaxBurst = 3;      // broadcasts
+// Delay of a broadcast (milliseconds): records published meanwhile are sent in the same datagram.
+constexpr Millis kCollectTime = 20;
+constexpr double kMaxBurst = 3;  // broadcasts that the budget admits at once
 
 }  // namespace
 
--- a/src/replication/broadcaster.hpp
+++ b/src/replication/broadcaster.hpp
@@ -1,5 +1,6 @@
-// Broadcasts of this member's own records that few members know yet and all should: they reach everybody in
-// one datagram, within a budget shared by the whole fleet.
+// Broadcasts new records of this member: one datagram reaches all other members. Broadcasts are for records
+// that all members need and few have. The members share the fleet's rate budget equally. Times are Unix
+// milliseconds.
 #pragma once
 
 #include <vector>
@@ -17,11 +18,11 @@
     void start(Millis now) { budget_.fill(now); }
     void stop() { due_ = kNever; }
 
-    /// Adds the record to the next broadcast; false: it is beyond the budget.
+    /// Each adds the record to the next broadcast, or returns false if the rate budget is used up.
     bool add_evidence(Millis now, EndpointKey endpoint);
     bool add_versions(Millis now);
 
-    /// When the next broadcast is due: records published at about the same time share a datagram.
+    /// When the next broadcast is due. Until then, newly published records are added to its datagram.
     Millis due() const { return due_; }
     void send(Millis now, std::vector<Outgoing>& out);
 
@@ -31,8 +32,8 @@
     const MemberTable& members_;
     PendingUpdates& updates_;
     DatagramSender& sender_;
-    std::vector<EndpointKey> evidence_;  // in the next broadcast, as are
-    bool versions_ = false;              // the versions
+    std::vector<EndpointKey> evidence_;  // endpoints whose evidence the next broadcast contains
+    bool versions_ = false;              // whether the next broadcast contains the versions
     Millis due_ = kNever;
     TokenBucket budget_;
 };
--- a/src/replication/catch_up.cpp
+++ b/src/replication/catch_up.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr std::size_t kPulledMembers = 3;  // at a time
+constexpr std::size_t kPulledMembers = 3;  // per pull
 constexpr std::size_t kAnswersNeeded = 2;  // from different members
-constexpr Millis kRetryInterval = 250;     // up to half as much again, drawn
+constexpr Millis kRetryInterval = 250;     // milliseconds between pulls, plus a random 0 to 50 %
 constexpr int kMaxPulls = 12;
 
 }  // namespace
@@ -59,7 +59,7 @@
     for (const MemberId to : pulled) {
         Datagram datagram = sender_.make(Kind::pull);
         datagram.token = sender_.next_token();
-        if (datagram.token == 0) datagram.token = sender_.next_token();  // 0 is no answer's token
+        if (datagram.token == 0) datagram.token = sender_.next_token();  // token 0: not a reply
         anti_entropy_.add_digest(datagram);
         sender_.send(to, std::move(datagram), out, DatagramSender::Updates::none);
     }
--- a/src/replication/catch_up.hpp
+++ b/src/replication/catch_up.hpp
@@ -1,5 +1,6 @@
-// Catch-up of a member that has just started or was paused: pulls the state of a few others, again and again
-// until enough of them have answered.
+// Catch-up of a member that has just started or was paused: pulls the state of a few other members, and
+// repeats the pull until enough members have replied or the limit of pulls is reached. Times are Unix
+// milliseconds.
 #pragma once
 
 #include <vector>
@@ -19,15 +20,15 @@
           random_(random) {}
 
     void start(Millis now, std::vector<Outgoing>& out);
-    /// Starts over, since updates may have been missed.
+    /// Starts over after a pause of this process, during which updates may have been missed.
     void restart(Millis now, std::vector<Outgoing>& out);
-    /// Tries again if it had given up: another member was heard.
+    /// Restarts a catch-up that ended at the limit of pulls; called when another member has sent a datagram.
     void resume(Millis now);
     void stop() { next_pull_ = kNever; }
     Millis due() const { return next_pull_; }
     void advance(Millis now, std::vector<Outgoing>& out);
 
-    /// The member's answer to a pull is complete.
+    /// To be called when the last datagram of the member's reply to a pull has arrived.
     void answered(MemberId from);
     bool finished() const { return finished_; }
 
--- a/src/replication/codec.hpp
+++ b/src/replication/codec.hpp
@@ -4,11 +4,12 @@
 //   byte 1       Kind
 //   bytes 2-5    XXH32 of all other bytes
 //   bytes 6-13   the sender's epoch and incarnation
-//   bytes 14-17  token (echoed in the answer) and subject (a member id)
+//   bytes 14-17  token (echoed in the reply) and subject (a member id)
 //   then items, each a tag byte and a body whose length depends on the tag alone
 //
-// All integers are big-endian. Gossip messages of one and four bytes, sent by sidecars without replication,
-// are recognised by their length, so both may be on the network at the same time.
+// All integers are big-endian. Sidecars without replication send gossip messages of one and four bytes. The
+// length distinguishes these messages from replication datagrams, so both may be on the network at the same
+// time.
 #pragma once
 
 #include <cstdint>
@@ -29,24 +30,24 @@
 constexpr std::size_t kDigestRanges = 16;  // equal ranges of member ids, one hash each
 
 enum class Kind : std::uint8_t {
-    ping = 1,      // answered by an ack with the same token
-    probe = 2,     // SWIM's ping-req: ping the subject and forward its ack
-    ack = 3,       // the subject has answered the ping with this token
+    ping = 1,      // the reply is an ack with the same token
+    probe = 2,     // SWIM's ping-req: the receiver pings the subject and forwards the ack
+    ack = 3,       // reply of the subject to the ping with this token
     gossip = 4,    // items only
-    digest = 5,    // a hash per range; answered by a summary of the ranges that differ
-    pull = 6,      // a digest from a member that is catching up; answered by all differing state
+    digest = 5,    // a hash per range; the reply is a summary of the ranges that differ
+    pull = 6,      // a digest from a member that is catching up; the reply is all state that differs
     summary = 7,   // fingerprints of the members in ranges that differ
     broadcast = 8  // items only, to all members: receivers do not disseminate them further
 };
 
-/// Membership of one sidecar as the sender knows it.
+/// SWIM state of one member, as held by the sender of the datagram.
 struct MemberItem {
     MemberId member = 0;
     MemberState state{};
     std::uint32_t floor = 0;
     bool operator==(const MemberItem&) const = default;
 };
-constexpr Millis kLifetimeUnit = 100;  // of EvidenceItem::remaining
+constexpr Millis kLifetimeUnit = 100;  // unit of EvidenceItem::remaining (milliseconds)
 /// One origin's evidence on one endpoint.
 struct EvidenceItem {
     MemberId origin = 0;
@@ -65,13 +66,13 @@
     Versions versions{};
     bool operator==(const VersionsItem&) const = default;
 };
-/// Fingerprint of all state held of a member; 0: none.
+/// Fingerprint of all state that the sender holds of the member; 0: the sender holds none.
 struct FingerprintItem {
     MemberId member = 0;
     std::uint32_t fingerprint = 0;
     bool operator==(const FingerprintItem&) const = default;
 };
-/// Asks for all state held of the member.
+/// Requests all state that the receiver holds of the member.
 struct WantItem {
     MemberId member = 0;
     bool operator==(const WantItem&) const = default;
@@ -84,7 +85,7 @@
 };
 using Item = std::variant<MemberItem, EvidenceItem, VersionsItem, FingerprintItem, WantItem, RangeItem>;
 
-/// Bytes on the wire, the tag included.
+/// Bytes on the wire, including the tag.
 std::size_t size_of(const Item& item);
 
 struct Datagram {
@@ -99,7 +100,7 @@
     std::size_t size() const;
 };
 
-/// At most kMaxDatagramBytes; items that do not fit are left out (Datagram::add() admits none of those).
+/// At most kMaxDatagramBytes bytes; further items are left out (Datagram::add() does not add such items).
 Bytes encode(const Datagram& datagram);
 
 /// Writes the checksum into an encoded datagram of kHeaderBytes to kMaxDatagramBytes bytes.
--- a/src/replication/datagram_sender.cpp
+++ b/src/replication/datagram_sender.cpp
@@ -12,11 +12,12 @@
 
 void DatagramSender::send(MemberId to, Datagram datagram, std::vector<Outgoing>& out, Updates updates) {
     if (to == members_.self() || !members_.contains(to)) return;
-    // A member believed suspect or dead is told so first: only itself can refute that.
+    // The first item is the suspect or dead state of the receiver, which only the receiver can refute.
     const OriginState& receiver = members_.at(to);
     if (receiver.member_state().status != Status::alive)
         datagram.add(MemberItem{to, receiver.member_state(), receiver.highest_sequence()});
-    // Pings and acks carry our versions: a member that was cut off learns of them within a probe's time.
+    // Pings and acks contain this member's versions, so that a member that was cut off receives the versions
+    // with the next probe.
     if (datagram.kind == Kind::ping || datagram.kind == Kind::ack)
         if (const auto versions = members_.item(UpdateKey::versions(members_.self())))
             datagram.add(*versions);
--- a/src/replication/datagram_sender.hpp
+++ b/src/replication/datagram_sender.hpp
@@ -1,5 +1,5 @@
-// Puts datagrams together and hands them to the caller: fills in the header, attaches what the receiver
-// should know, and counts.
+// Assembles the datagrams that the caller sends: fills in the header, attaches pending updates and the state
+// that the receiver may have to refute, and counts datagrams and bytes.
 #pragma once
 
 #include "replication/pending_updates.hpp"
@@ -15,10 +15,10 @@
 
     /// A datagram with this member's epoch and incarnation.
     Datagram make(Kind kind) const;
-    /// Numbers requests of any kind; wraps around.
+    /// Token for the next request of any kind; wraps around.
     std::uint16_t next_token() { return next_token_++; }
 
-    /// Sends to one other member; to any other id nothing is sent.
+    /// Sends to another member; does nothing if `to` is this member or no member of the fleet.
     void send(MemberId to, Datagram datagram, std::vector<Outgoing>& out, Updates updates = Updates::attach);
     void send_to_all(const Datagram& datagram, std::vector<Outgoing>& out);
 
--- a/src/replication/evidence_view.cpp
+++ b/src/replication/evidence_view.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-constexpr Millis kRebuildPeriod = 50;
-constexpr std::size_t kMaxConfirmations = 8;  // requests at a time
-constexpr Millis kConfirmPeriod = 500;        // between requests to the same origin
-constexpr double kLatencyRatioUnit = 64.0;    // of Evidence::latency_ratio
+constexpr Millis kRebuildPeriod = 50;         // least time between rebuilds (ms)
+constexpr std::size_t kMaxConfirmations = 8;  // requests per rebuild
+constexpr Millis kConfirmPeriod = 500;        // milliseconds between requests to the same origin
+constexpr double kLatencyRatioUnit = 64.0;    // Evidence::latency_ratio counts in 1/64
 
 bool reports_failure(const Evidence& evidence) {
     return evidence.failures != 0 || (evidence.flags & kEjected);
@@ -21,7 +21,7 @@
 struct EvidenceView::Sum {
     EndpointTotals totals;
     std::uint32_t latency_ratios = 0;
-    std::vector<MemberId> indirect;  // origins whose report of a failure was passed on by another member
+    std::vector<MemberId> indirect;  // origins whose failure report was forwarded by another member
 
     void add(MemberId origin, const Record<Evidence>& record) {
         const Evidence& evidence = record.value;
@@ -96,8 +96,8 @@
     request_confirmations(now, indirect, out);
 }
 
-// One answer brings all that its origin has to say, so origins that report several endpoints come first; ties
-// are in random order.
+// The order in which origins are asked. A reply contains all records of its origin, so origins that report
+// more endpoints come first; ties are in random order.
 std::vector<MemberId> EvidenceView::confirmation_order(const IndirectReporters& indirect) {
     std::map<MemberId, int> endpoints_reported;
     for (const auto& [endpoint, origins] : indirect)
@@ -139,7 +139,8 @@
         sender_.send(origin, std::move(request), out);
     }
     for (const MemberId origin : chosen) asked_[origin] = now;
-    if (!asked_.empty() && !indirect.empty()) outdated_ = true;  // answers may get lost: check again
+    // Replies may get lost, so the next rebuild checks again.
+    if (!asked_.empty() && !indirect.empty()) outdated_ = true;
 }
 
 }  // namespace ochregrade::replication
--- a/src/replication/evidence_view.hpp
+++ b/src/replication/evidence_view.hpp
@@ -1,8 +1,10 @@
-// The evidence of all other members summed by endpoint, rebuilt at bounded intervals while it changes, and
-// the confirmation of indirect evidence by its origins.
+// Sums the evidence of all other members by endpoint, and asks origins to confirm evidence that other members
+// have forwarded. After a change the sums are rebuilt, at most once per kRebuildPeriod. Times are Unix
+// milliseconds.
 //
-// A datagram's sender is known by its address, but what it says about other origins may be forged. So where
-// enough origins are said to report an endpoint and too few have said so themselves, some are asked directly.
+// The sender of a datagram is known by its address, but the datagram may contain forged records of other
+// origins. If a quorum of origins reports an endpoint and fewer than a quorum of these records came directly
+// from their origins, some of these origins are asked for the records directly.
 #pragma once
 
 #include <map>
@@ -17,9 +19,9 @@
     EvidenceView(const MemberTable& members, DatagramSender& sender, Random& random, ReplicaCounts& counts)
         : members_(members), sender_(sender), random_(random), counts_(counts) {}
 
-    /// Evidence may have changed: the view is rebuilt.
+    /// Requests a rebuild, since evidence may have changed.
     void mark_outdated() { outdated_ = true; }
-    /// Members or versions have changed: the revision grows too.
+    /// Requests a rebuild that increases the revision, since members or versions have changed.
     void mark_members_changed();
     void stop() { outdated_ = false; }
 
@@ -27,10 +29,11 @@
     /// Rebuilds the view if that is due.
     void refresh(Millis now, std::vector<Outgoing>& out);
 
-    /// By endpoint, of members that are not dead, without this one; as of the last rebuild.
+    /// Totals by endpoint over all other members that are not dead, as of the last rebuild.
     const std::vector<EndpointTotals>& totals() const { return totals_; }
     std::uint64_t revision() const { return revision_; }
-    /// Origins that report failures of the endpoint or ejected it, and those of them heard firsthand.
+    /// Number of origins that report failures of the endpoint or have ejected it, and the number of these
+    /// origins whose record came directly from them.
     std::uint32_t reporters(EndpointKey endpoint) const;
     std::uint32_t direct_reporters(EndpointKey endpoint) const;
 
@@ -52,8 +55,8 @@
     Random& random_;
     ReplicaCounts& counts_;
     std::vector<EndpointTotals> totals_;
-    std::map<EndpointKey, Reporters> reporters_;  // as of the view
-    std::map<MemberId, Millis> asked_;            // for confirmation, and when
+    std::map<EndpointKey, Reporters> reporters_;  // as of the last rebuild
+    std::map<MemberId, Millis> asked_;            // origins asked for confirmation, and when
     bool outdated_ = false;
     bool members_changed_ = false;
     Millis rebuilt_at_ = kLongAgo;
--- a/src/replication/failure_detector.cpp
+++ b/src/replication/failure_detector.cpp
@@ -7,21 +7,22 @@
 
 namespace {
 
-// A running member fails a probe with at most this chance; given the share of lost pings that says how many
-// pings a probe takes, up to kMaxPings.
+// Greatest probability that a probe of a running member fails. From this bound and the share of lost pings
+// follows the number of pings of a probe, at most kMaxPings.
 constexpr double kMaxFalseSilence = 0.002;
 constexpr double kMaxPings = 25;
 constexpr double kMinLoss = 0.01;
 constexpr double kMaxLoss = 0.99;
 constexpr double kMinSuspicionProbes = 2.0;
-constexpr double kSuspectPings = 24;  // members of the whole fleet that ping a suspect themselves
-// Chance in each period of pinging a member believed dead: it may be back, or a partition may have healed.
+constexpr double kSuspectPings = 24;  // members of the fleet, on average, that ping a suspect directly
+// Probability per probe of a ping to a dead or unknown member too, since that member may have restarted or a
+// partition may have healed.
 constexpr double kUnreachablePingShare = 0.5;
 
 }  // namespace
 
 void FailureDetector::start(Millis now) {
-    // At a random time, so that members started at the same moment do not probe in step.
+    // The first delay is random, so that members started at the same moment do not probe in step.
     next_probe_ = now + parts_.options.probe_period * parts_.random.unit();
 }
 
@@ -61,7 +62,7 @@
 
 void FailureDetector::start_probe(Millis now, std::vector<Outgoing>& out) {
     ping_unreachable_member(out);
-    for (int attempt = 0; attempt < 2; ++attempt) {  // the rest of this round, then a new one
+    for (int attempt = 0; attempt < 2; ++attempt) {  // first the rest of this round, then a new round
         while (!round_.empty()) {
             const MemberId target = round_.back();
             round_.pop_back();
@@ -110,7 +111,7 @@
     if (!first && !probe_.asked_helpers) ask_helpers(out);
 }
 
-// Once per probe.
+// Asks other members to ping the target too, once per probe.
 void FailureDetector::ask_helpers(std::vector<Outgoing>& out) {
     probe_.asked_helpers = true;
     const auto helpers =
@@ -128,7 +129,7 @@
 void FailureDetector::end_probe(Millis now) {
     if (!probe_.active) return;
     probe_.active = false;
-    parts_.ping_loss.restore(probe_.loss_before);  // the member's silence says nothing about the network
+    parts_.ping_loss.restore(probe_.loss_before);  // pings to a failed member are no measure of loss
     if (parts_.members.at(probe_.target).member_state().status != Status::alive) return;
     ++parts_.counts.suspected;
     set_status(now, probe_.target, Status::suspect);
@@ -174,7 +175,8 @@
     }
     const Millis time = suspicion_time();
     suspicions_[id] = now + time;
-    // A few of all members that suspect it ping it directly: the ping tells it, the ack brings its answer.
+    // A few of the members that suspect it ping it directly: the ping contains the suspicion and the ack
+    // contains the refutation.
     if (parts_.random.unit() * static_cast<double>(parts_.members.size()) < kSuspectPings)
         direct_pings_[id] = now + time * parts_.random.unit();
 }
--- a/src/replication/failure_detector.hpp
+++ b/src/replication/failure_detector.hpp
@@ -1,8 +1,8 @@
-// Failure detection: probes one member a period, directly and through others, suspects those that do not
-// answer, and declares dead those that do not refute the suspicion in time. Each member is probed once per
-// round, in random order. Where many pings get lost a probe takes more of them: loss makes detection slower,
-// not wrong. Sources: SWIM (Das, Gupta, Motivala 2002); local health after Lifeguard (Dadgar, Phillips,
-// Currey 2018).
+// Failure detection: probes one member per period, directly and through other members, suspects a member that
+// does not reply, and declares a suspect dead that does not refute the suspicion in time. Each member is
+// probed once per round, in random order. The more pings are lost, the more pings a probe sends before the
+// member is suspected, so loss delays detection but causes few false suspicions. Times are Unix milliseconds.
+// Sources: SWIM (Das, Gupta, Motivala 2002); local health after Lifeguard (Dadgar, Phillips, Currey 2018).
 #pragma once
 
 #include <array>
@@ -16,7 +16,7 @@
 
 class FailureDetector {
 public:
-    /// What the detector uses of the replica; all outlives it.
+    /// The components of the replica that the detector uses. They outlive the detector.
     struct Parts {
         const Options& options;
         MemberTable& members;
@@ -33,15 +33,17 @@
     void stop();
     Millis due() const;
     void advance(Millis now, std::vector<Outgoing>& out);
-    /// This process was paused for `pause` ms: silence during that time was its own.
+    /// Ends the current probe and extends all suspicions after a pause of this process of `pause` ms: the
+    /// replies of other members could not be received meanwhile.
     void process_paused(Millis now, Millis pause);
 
-    /// Any datagram from a member shows that it is alive.
+    /// Ends the probe of the member that has sent a datagram: any datagram shows that its sender is alive.
     void received_from(MemberId from);
     void handle_ping(MemberId from, const Datagram& ping, std::vector<Outgoing>& out);
     void handle_probe_request(MemberId from, const Datagram& request, std::vector<Outgoing>& out);
     void handle_ack(MemberId from, const Datagram& ack, std::vector<Outgoing>& out);
-    /// The member's epoch, incarnation or status changed in the table: adapts its suspicion and passes it on.
+    /// To be called when the member's epoch, incarnation or status in the table has changed: starts or ends
+    /// the suspicion and disseminates the new state.
     void member_state_changed(Millis now, MemberId id);
 
 private:
@@ -49,7 +51,7 @@
         MemberId target = 0;
         std::uint16_t token = 0;
         Millis retry_at = 0;
-        double loss_before = 0;  // share of lost pings at its start
+        double loss_before = 0;  // share of lost pings when the probe started, 0 to 1
         bool active = false;
         bool asked_helpers = false;
         bool first_ping = false;
@@ -76,13 +78,13 @@
     Millis suspicion_time() const;
 
     Parts parts_;
-    std::vector<MemberId> round_;  // members still to be probed, last first
+    std::vector<MemberId> round_;  // members not yet probed in this round; the last one is next
     Millis next_probe_ = kNever;
     Probe probe_;
     std::array<RelayedProbe, 64> relayed_{};
     std::size_t next_relayed_ = 0;
-    std::map<MemberId, Millis> suspicions_;    // until when each may be refuted
-    std::map<MemberId, Millis> direct_pings_;  // suspects to be pinged by this member, and when
+    std::map<MemberId, Millis> suspicions_;    // suspects, and when each suspicion expires
+    std::map<MemberId, Millis> direct_pings_;  // suspects that this member pings directly, and when
 };
 
 }  // namespace ochregrade::replication
--- a/src/replication/member_table.hpp
+++ b/src/replication/member_table.hpp
@@ -1,5 +1,6 @@
-// The replicated state of all members of the fleet, this one included, and the selections and items made from
-// it. It owns the latest time seen, by which the remaining lifetime of records is computed.
+// Table of the replicated state of all members of the fleet, including this one. The table selects members at
+// random, makes the items of datagrams from records, and holds the latest time seen (Unix milliseconds), from
+// which the remaining lifetime of records is computed.
 #pragma once
 
 #include <compare>
@@ -17,7 +18,7 @@
     enum class Subject : std::uint8_t { member, evidence, versions };
     Subject subject = Subject::member;
     MemberId origin = 0;
-    EndpointKey endpoint = 0;  // of evidence only
+    EndpointKey endpoint = 0;  // used for evidence only
     auto operator<=>(const UpdateKey&) const = default;
 
     static UpdateKey member(MemberId origin) { return {Subject::member, origin, 0}; }
@@ -29,10 +30,10 @@
 
 class MemberTable {
 public:
-    /// Which members a random selection takes.
+    /// Which members a random selection prefers.
     enum class Preference {
-        alive_only,   // others only if none is believed alive
-        alive_first,  // others where too few are believed alive
+        alive_only,   // dead or unknown members only if no other member is alive
+        alive_first,  // dead or unknown members only to make up the number
     };
 
     /// `epoch`: Unix seconds of the process start. Throws std::invalid_argument if `self` is not below
@@ -49,23 +50,23 @@
     /// Whether the member is known and not dead.
     bool is_alive(MemberId id) const;
 
-    std::size_t alive_count() const;  // this one included
+    std::size_t alive_count() const;  // including this one
     std::size_t evidence_count() const;
-    /// Members not dead that act on these versions, this one included.
+    /// Number of members that act on these versions and are not dead, including this one.
     std::size_t acting_on(const Versions& versions) const;
-    /// The versions that the other members not dead act on.
+    /// The versions that all other members act on, without those of dead members.
     std::vector<std::pair<MemberId, Record<Versions>>> versions() const;
     /// Up to `count` other members, drawn without replacement.
     std::vector<MemberId> random_others(Random& random, std::size_t count, Preference preference) const;
 
     /// Latest time seen (Unix milliseconds); it never goes back.
     void advance_clock(Millis now) { now_ = std::max(now_, now); }
-    /// Drops expired records; returns whether there were any.
+    /// Removes expired evidence; returns whether there was any.
     bool expire(Millis now);
 
-    /// None: there is no such record, or it is about to expire.
+    /// None if there is no such record or its remaining lifetime is below kLifetimeUnit.
     std::optional<Item> item(const UpdateKey& key) const;
-    /// All items held of a member; none if it is unknown.
+    /// Items for all state held of a member; empty if the member is unknown.
     std::vector<Item> items_of(MemberId id) const;
 
 private:
--- a/src/replication/own_records.cpp
+++ b/src/replication/own_records.cpp
@@ -8,7 +8,8 @@
 
 constexpr std::uint32_t kMaxSequence = 1U << 30;
 constexpr std::uint32_t kMaxIncarnation = std::numeric_limits<std::uint32_t>::max() - 1;
-// A forger could otherwise make one member fill all datagrams with its new epochs.
+// Least time between new epochs (milliseconds): without a limit, a forger could make this member fill all
+// datagrams with new epochs.
 constexpr Millis kMinEpochInterval = 1000;
 
 }  // namespace
@@ -30,7 +31,8 @@
     const std::size_t already_acting = parts_.members.acting_on(versions);
     own.join(own.member_state().epoch, Record<Versions>{++sequence_, versions, kNever, true});
     if (already_acting >= kMaxDisseminatedOrigins) return;
-    // Both ways: a member that misses the broadcast acts on an older version until it learns of it.
+    // Versions are sent both as updates and as a broadcast: a member that misses the broadcast acts on an
+    // older version until the record reaches that member in another datagram.
     parts_.updates.add(now, UpdateKey::versions(parts_.members.self()));
     parts_.broadcaster.add_versions(now);
 }
@@ -77,7 +79,7 @@
     parts_.updates.add(now, UpdateKey::member(parts_.members.self()));
 }
 
-// Writes everything anew: the records of the earlier epoch no longer count.
+// Writes all records again under the new epoch, since other members discard records of the earlier epoch.
 void OwnRecords::start_epoch(Millis now, std::uint32_t epoch) {
     epoch_started_at_ = now;
     const MemberId self = parts_.members.self();
--- a/src/replication/own_records.hpp
+++ b/src/replication/own_records.hpp
@@ -1,6 +1,7 @@
-// The records of this member: numbers its writes, publishes them, and refutes what others falsely say in its
-// name or about it. A higher incarnation refutes a suspicion (SWIM); a later epoch replaces records that it
-// never wrote, left over from an earlier process or forged.
+// Records of this member: numbers and publishes the writes of this member, and refutes false states and
+// records of this member that arrive from other members. A higher incarnation refutes a suspicion (SWIM). A
+// later epoch replaces records that this process never wrote: records of an earlier process, or forged ones.
+// Times are Unix milliseconds.
 #pragma once
 
 #include "replication/broadcaster.hpp"
@@ -10,7 +11,7 @@
 
 class OwnRecords {
 public:
-    /// What it uses of the replica; all outlives it.
+    /// The components of the replica that this class uses. They outlive it.
     struct Parts {
         MemberTable& members;
         PendingUpdates& updates;
@@ -23,9 +24,9 @@
     void publish(Millis now, EndpointKey endpoint, const Evidence& evidence);
     void publish(Millis now, const Versions& versions);
 
-    /// Another member's view of this one.
+    /// Refutes another member's state of this member, if that state is false.
     void refute(Millis now, const MemberItem& item) { refute(now, item.state, item.floor); }
-    /// Records in this one's name.
+    /// Each refutes a record with this member as its origin, if this member did not write the record.
     void refute(Millis now, const EvidenceItem& item);
     void refute(Millis now, const VersionsItem& item);
 
@@ -37,7 +38,7 @@
     void start_epoch(Millis now, std::uint32_t epoch);
 
     Parts parts_;
-    std::uint32_t sequence_ = 0;  // of the last write
+    std::uint32_t sequence_ = 0;  // sequence of the last write
     Millis epoch_started_at_ = kLongAgo;
 };
 
--- a/src/replication/pending_updates.cpp
+++ b/src/replication/pending_updates.cpp
@@ -9,24 +9,25 @@
 
 constexpr std::size_t kMaxUpdates = 4096;
 constexpr std::size_t kMaxItemsPerDatagram = kMaxDatagramBytes / 15;  // an upper bound on what may fit
-// Evidence, and that a member has started, are repeated this share of the times: several members report the
-// same, and anti-entropy finds what is missing.
+// Evidence and the state of a newly started member are sent only this share of the usual number of times:
+// several members report the same, and anti-entropy transfers what is missing.
 constexpr double kReducedShare = 0.4;
 constexpr int kMinReducedRepeats = 2;
-constexpr int kMinRepeats = 4;  // a small fleet loses as large a share of datagrams as a large one
+constexpr int kMinRepeats = 4;  // a small fleet loses the same share of datagrams as a large one
 constexpr double kMaxLoss = 0.9;
 
 }  // namespace
 
 void PendingUpdates::add(Millis now, const UpdateKey& key) {
-    if (sent_.size() >= kMaxUpdates && !sent_.count(key)) return;  // left to anti-entropy
+    if (sent_.size() >= kMaxUpdates && !sent_.count(key)) return;  // anti-entropy transfers the item instead
     sent_[key] = 0;
     if (next_round_ == kNever) next_round_ = std::max(now, last_round_ + options_.gossip_period);
 }
 
 int PendingUpdates::max_repeats() const {
     const double times = options_.repeats * std::log10(static_cast<double>(members_.size()) + 1);
-    // Pings are lost on the way there and back: one way alone delivers the square root of that.
+    // The loss of pings covers both directions, ping and ack. The probability of delivery in one direction is
+    // the square root of the probability in both.
     const double delivered = std::sqrt(1 - std::min(kMaxLoss, ping_loss_.share()));
     return std::max(kMinRepeats, static_cast<int>(std::ceil(times / delivered)));
 }
--- a/src/replication/pending_updates.hpp
+++ b/src/replication/pending_updates.hpp
@@ -1,6 +1,7 @@
-// Dissemination: updates waiting to be passed on. Each one is attached to outgoing datagrams a bounded number
-// of times, the least often sent first. Source: SWIM's infection-style dissemination (Das, Gupta, Motivala
-// 2002); the number of repeats grows with the logarithm of the fleet.
+// Dissemination: the updates that this member attaches to outgoing datagrams. Each update is sent a bounded
+// number of times, and updates that have been sent least often come first. The bound grows with the logarithm
+// of the fleet size. Times are Unix milliseconds. Source: SWIM's infection-style dissemination (Das, Gupta,
+// Motivala 2002).
 #pragma once
 
 #include <map>
@@ -15,11 +16,11 @@
     PendingUpdates(const MemberTable& members, const PingLoss& ping_loss, const Options& options)
         : members_(members), ping_loss_(ping_loss), options_(options) {}
 
-    /// Passes the item on from now, again if it was passed on before.
+    /// Starts to disseminate the item; an item that is already pending starts over.
     void add(Millis now, const UpdateKey& key);
     void remove(const UpdateKey& key) { sent_.erase(key); }
     bool empty() const { return sent_.empty(); }
-    /// Adds what fits in and is of use to the receiver.
+    /// Adds the updates that fit, without evidence and versions of which the receiver is the origin.
     void attach(Datagram& datagram, MemberId receiver);
 
     /// When the next gossip round is due.
@@ -34,7 +35,7 @@
     const MemberTable& members_;
     const PingLoss& ping_loss_;
     const Options& options_;
-    std::map<UpdateKey, int> sent_;  // how often each has been sent
+    std::map<UpdateKey, int> sent_;  // number of times that each update has been sent
     Millis next_round_ = kNever;
     Millis last_round_ = kLongAgo;
 };
--- a/src/replication/ping_loss.hpp
+++ b/src/replication/ping_loss.hpp
@@ -1,6 +1,6 @@
-// Estimates the share of this member's pings that stay unanswered, as an exponentially weighted average.
-// Where many datagrams get lost, silence says less about a member, and updates are repeated more often. After
-// the local health of Lifeguard (Dadgar, Phillips, Currey 2018).
+// Estimates the share of this member's pings that get no ack, as an exponentially weighted average. At a high
+// share a missing ack is weaker evidence of a failure, so probes send more pings; updates are sent more often
+// too. Source: the local health of Lifeguard (Dadgar, Phillips, Currey 2018).
 #pragma once
 
 #include <algorithm>
@@ -9,17 +9,17 @@
 
 class PingLoss {
 public:
-    /// Share of unanswered pings, 0 to 1.
+    /// Share of pings without an ack, 0 to 1.
     double share() const { return share_; }
-    /// A ping is counted as unanswered until answered() takes that back.
+    /// Counts a ping as lost; answered() reverses that.
     void sent() { share_ += (1 - share_) * kWeight; }
     void answered() { share_ = std::max(0.0, (share_ - kWeight) / (1 - kWeight)) * (1 - kWeight); }
-    /// Returns to an earlier share: what was unanswered since then says nothing about the network.
+    /// Restores an earlier share, for pings to a failed member, which are no measure of network loss.
     void restore(double share) { share_ = share; }
 
 private:
-    static constexpr double kWeight = 0.05;  // of each ping
-    double share_ = 0.4;                     // until there is a measurement
+    static constexpr double kWeight = 0.05;  // weight of each ping in the average
+    double share_ = 0.4;                     // initial estimate
 };
 
 }  // namespace ochregrade::replication
--- a/src/replication/records.cpp
+++ b/src/replication/records.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Copies of the same write: the earlier expiry counts, whoever repeats it.
+// Joins two copies of the same write. The earlier expiry wins, so that a repeat does not extend the lifetime.
 template <class Value>
 void join_copies(Record<Value>& record, const Record<Value>& copy) {
     record.expires = std::min(record.expires, copy.expires);
@@ -83,7 +83,7 @@
     return changed;
 }
 
-// Retains the newest kMaxRecordsPerOrigin, which are the same whatever order the records came in.
+// Retains the newest kMaxRecordsPerOrigin records. The result does not depend on the order of arrival.
 void OriginState::trim() {
     while (evidence_.size() > kMaxRecordsPerOrigin) {
         const auto oldest = std::min_element(
@@ -101,8 +101,8 @@
     return true;
 }
 
-// All evidence has the same lifetime, so whatever was written before an expired record has expired too. The
-// floor applies that to records that have not arrived yet.
+// All evidence has the same lifetime, so evidence written before an expired record has expired too. The floor
+// also covers evidence that has not arrived yet.
 bool OriginState::expire(Millis now) {
     std::uint32_t expired = floor_;
     for (const auto& [key, record] : evidence_)
--- a/src/replication/replica.cpp
+++ b/src/replication/replica.cpp
@@ -6,13 +6,14 @@
 
 namespace {
 
-constexpr std::uint64_t kSeedMask = 0x666c656574ULL;  // keeps these draws apart from others of the same seed
-// An epoch may be this much ahead of the reader's clock (seconds): clocks differ, forgers would go further.
+constexpr std::uint64_t kSeedMask = 0x666c656574ULL;  // separates these draws from others of the same seed
+// How far an epoch may be ahead of the reader's clock (seconds): clocks differ, and epochs further ahead are
+// treated as forged.
 constexpr double kMaxEpochAhead = 3600;
-// If advance() comes this much later than due, the process was paused.
+// If advance() is called this many milliseconds later than due(), the process was paused.
 constexpr Millis kMinPause = 1000;
 constexpr Millis kExpiryPeriod = 200;
-constexpr int kLeaveRounds = 2;  // gossip rounds that announce the end
+constexpr int kLeaveRounds = 2;  // gossip rounds that announce the shutdown
 
 }  // namespace
 
@@ -130,11 +131,12 @@
 void Replica::process(Millis now, MemberId from, const Datagram& datagram, std::vector<Outgoing>& out) {
     catch_up_.resume(now);
     failure_detector_.received_from(from);
-    // Whoever sends is alive; if others hold something against it, it will learn of that and refute it.
+    // A member that sends is alive. If other members suspect the sender, they send it that state, and the
+    // sender refutes the state.
     merge(now, MemberItem{from, {datagram.epoch, datagram.incarnation, Status::alive}, 0});
     merge_items(now, from, datagram);
     answer(now, from, datagram, out);
-    // A member that we believe suspect or dead although it speaks must learn of that.
+    // If this member holds the sender suspect or dead, the sender gets that state and can refute it.
     if (datagram.kind == Kind::gossip && members_.at(from).member_state().status != Status::alive &&
         anti_entropy_.may_answer(now))
         sender_.send(from, sender_.make(Kind::gossip), out);
@@ -225,7 +227,7 @@
     const Record<Evidence> record{item.sequence, item.evidence, now + lifetime, from == item.origin};
     const bool changed = origin.join(item.epoch, item.endpoint, record);
     if (origin.member_state().epoch != epoch_before) failure_detector_.member_state_changed(now, item.origin);
-    view_.mark_outdated();  // even if the only change is that the record came firsthand
+    view_.mark_outdated();  // even if only Record::firsthand has changed
     if (changed && disseminate && view_.reporters(item.endpoint) < kMaxDisseminatedOrigins)
         updates_.add(now, UpdateKey::evidence(item.origin, item.endpoint));
     return changed;
@@ -245,7 +247,7 @@
     if (origin.member_state().epoch != epoch_before) failure_detector_.member_state_changed(now, item.origin);
     if (!changed) return false;
     view_.mark_members_changed();
-    // That a few members act on new versions is disseminated; for more of them, anti-entropy is enough.
+    // New versions are disseminated for a few origins; anti-entropy transfers those of further origins.
     if (disseminate && members_.acting_on(item.versions) <= kMaxDisseminatedOrigins)
         updates_.add(now, UpdateKey::versions(item.origin));
     return true;
--- a/src/replication/replica.hpp
+++ b/src/replication/replica.hpp
@@ -27,37 +27,38 @@
     /// `members`, or `members` is not 1 to kMaxMembers.
     Replica(MemberId self, std::size_t members, std::uint32_t epoch, std::uint64_t seed,
             Options options = {});
-    // Its parts refer to each other.
+    // Not copyable: the components refer to each other.
     Replica(const Replica&) = delete;
     Replica& operator=(const Replica&) = delete;
 
-    /// To be called first: asks a few others for their state.
+    /// To be called first. Requests the state of a few other members.
     void start(Millis now, std::vector<Outgoing>& out);
-    /// Does what is due; to be called at due() or soon after.
+    /// Runs the timers that have expired; to be called at due() or soon after.
     void advance(Millis now, std::vector<Outgoing>& out);
     Millis due() const;
-    /// A datagram from that member, known by its address. One that can't be decoded is counted and dropped.
+    /// Handles a datagram of member `from`, which the caller has identified by its address. A datagram that
+    /// cannot be decoded is counted and dropped.
     void receive(Millis now, MemberId from, std::span<const std::uint8_t> bytes, std::vector<Outgoing>& out);
-    /// Tells the others that this member ends; nothing is sent or received afterwards.
+    /// Announces to other members that this member shuts down; sends and receives nothing afterwards.
     void leave(Millis now, std::vector<Outgoing>& out);
 
     /// Publishes a record of this member. Publishing the same evidence again renews its lifetime.
     void publish(Millis now, EndpointKey endpoint, Evidence evidence);
     void publish(Millis now, const Versions& versions);
 
-    /// By endpoint, of members that are not dead, without this one. As of the last advance() or receive();
-    /// revision() grows when it or versions() has changed.
+    /// Totals by endpoint over all other members that are not dead, as of the last advance() or receive().
+    /// revision() increases when evidence() or versions() has changed.
     const std::vector<EndpointTotals>& evidence() const { return view_.totals(); }
     std::uint64_t revision() const { return view_.revision(); }
-    /// The versions that the other members not dead act on.
+    /// The versions that all other members act on, without those of dead members.
     std::vector<std::pair<MemberId, Record<Versions>>> versions() const { return members_.versions(); }
 
     const OriginState& member(MemberId id) const { return members_.at(id); }
     MemberId self() const { return members_.self(); }
     std::size_t members() const { return members_.size(); }
-    std::size_t alive() const { return members_.alive_count(); }  // known and not dead, this one included
+    std::size_t alive() const { return members_.alive_count(); }  // known and not dead, including this one
     std::size_t records() const { return members_.evidence_count(); }
-    /// Enough other members have answered since the start.
+    /// Whether enough other members have replied to pulls since the start or the last pause of this process.
     bool caught_up() const { return catch_up_.finished(); }
     /// Equal at replicas that agree on all known members.
     std::uint32_t fingerprint() const { return anti_entropy_.fingerprint(); }
--- a/src/replication/token_bucket.hpp
+++ b/src/replication/token_bucket.hpp
@@ -1,5 +1,5 @@
-// A token bucket (RFC 2697's sense): limits a rate while admitting a short burst. No clock: times are
-// milliseconds passed in by the caller; a time that goes back adds nothing.
+// Token bucket (RFC 2697): limits a rate while admitting a short burst. The caller passes in times in
+// milliseconds; a time before the previous one adds no tokens.
 #pragma once
 
 #include <algorithm>
@@ -15,7 +15,7 @@
         tokens_ = capacity_;
         filled_at_ = now_ms;
     }
-    /// Takes one token; false: there is none.
+    /// Takes one token; returns false if there is none.
     bool take(double now_ms) {
         tokens_ = std::min(capacity_, tokens_ + per_second_ * std::max(0.0, now_ms - filled_at_) / 1000);
         filled_at_ = now_ms;
--- a/src/replication/version_agreement.cpp
+++ b/src/replication/version_agreement.cpp
@@ -5,8 +5,8 @@
 namespace ochregrade::replication {
 
 namespace {
-// After this many requests without success a claim is taken to be forged and ignored for a while: it must not
-// hide a true one below it.
+// After more than this many requests without success a claim counts as forged and is ignored for
+// kIgnorePeriod (milliseconds), so that it does not hide a true claim of a lower version.
 constexpr int kMaxFailedRequests = 4;
 constexpr Millis kIgnorePeriod = 60000;
 }  // namespace
@@ -22,7 +22,7 @@
         backoff_ = 0, failed_requests_ = 0;
         return;
     }
-    // A changed claim leaves the schedule as it is: a forger must not set it.
+    // A changed claim does not change the schedule, so that a forger cannot control it.
     const bool was_behind = claimed_.has_value();
     claimed_ = newest;
     if (was_behind) return;
