--- a/src/fleet/replication_driver.cpp
+++ b/src/fleet/replication_driver.cpp
@@ -108,8 +108,8 @@
 
 void ReplicationDriver::request_versions() {
     const Millis now = clock_.now();
-    request_if_due(now, list_follower_, handlers_.ask_list, "list");
-    request_if_due(now, settings_follower_, handlers_.ask_settings, "settings");
+    request_if_due(now, list_follower_, handlers_.request_list, "list");
+    request_if_due(now, settings_follower_, handlers_.request_settings, "settings");
 }
 
 void ReplicationDriver::request_if_due(Millis now, replication::VersionFollower& follower,
--- a/src/fleet/replication_driver.hpp
+++ b/src/fleet/replication_driver.hpp
@@ -25,8 +25,8 @@
         /// Evidence or versions of other members have changed. Not called from within publish().
         std::function<void()> changed;
         /// Each fetches the endpoint list or the settings: other members claim to act on a newer version.
-        std::function<void(const replication::VersionId& claimed)> ask_list;
-        std::function<void(const replication::VersionId& claimed)> ask_settings;
+        std::function<void(const replication::VersionId& claimed)> request_list;
+        std::function<void(const replication::VersionId& claimed)> request_settings;
     };
 
     /// `clock` must outlive the driver.
--- a/src/replication/anti_entropy.cpp
+++ b/src/replication/anti_entropy.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr std::size_t kMaxAnswerDatagrams = 8;       // in the reply to a digest or a summary
-constexpr std::size_t kMaxPullAnswerDatagrams = 40;  // in the reply to a pull
-constexpr double kAnswersPerSecond = 100;            // datagrams of all replies together
+constexpr std::size_t kMaxReplyDatagrams = 8;       // in the reply to a digest or a summary
+constexpr std::size_t kMaxPullReplyDatagrams = 40;  // in the reply to a pull
+constexpr double kRepliesPerSecond = 100;           // datagrams of all replies together
 
 }  // namespace
 
@@ -22,10 +22,10 @@
       sender_(sender),
       random_(random),
       counts_(counts),
-      answer_budget_(kAnswersPerSecond, kAnswersPerSecond) {}
+      reply_budget_(kRepliesPerSecond, kRepliesPerSecond) {}
 
 void AntiEntropy::start(Millis now) {
-    answer_budget_.fill(now);
+    reply_budget_.fill(now);
     // The first delay is random, so that members started at the same moment do not send digests in step.
     if (options_.repair) next_sync_ = now + options_.sync_period * (0.5 + random_.unit());
 }
@@ -84,14 +84,14 @@
 // ---- Replies ---------------------------------------------------------------------------------------------
 
 // A request costs its sender little, so the rate of all replies together is limited.
-bool AntiEntropy::may_answer(Millis now) {
-    if (answer_budget_.take(now)) return true;
+bool AntiEntropy::admit_reply(Millis now) {
+    if (reply_budget_.take(now)) return true;
     ++counts_.unanswered;
     return false;
 }
 
-void AntiEntropy::answer_digest(Millis now, MemberId from, const Datagram& digest,
-                                std::vector<Outgoing>& out) {
+void AntiEntropy::reply_to_digest(Millis now, MemberId from, const Datagram& digest,
+                                  std::vector<Outgoing>& out) {
     std::vector<std::uint8_t> ranges = differing_ranges(digest);
     // Random order: with a fixed order, the limit on datagrams would cut off the same ranges every time.
     for (std::size_t i = ranges.size(); i > 1; --i) std::swap(ranges[i - 1], ranges[random_.below(i)]);
@@ -103,17 +103,17 @@
             const auto id = static_cast<MemberId>(i);
             const FingerprintItem item{id, members_.at(id).fingerprint()};
             if (summary.add(item)) continue;
-            if (++sent >= kMaxAnswerDatagrams || !may_answer(now)) return;
+            if (++sent >= kMaxReplyDatagrams || !admit_reply(now)) return;
             sender_.send(from, std::move(summary), out, DatagramSender::Updates::none);
             summary = sender_.make(Kind::summary);
             summary.add(item);
         }
-    if (!summary.items.empty() && may_answer(now))
+    if (!summary.items.empty() && admit_reply(now))
         sender_.send(from, std::move(summary), out, DatagramSender::Updates::none);
 }
 
-void AntiEntropy::answer_summary(Millis now, MemberId from, const Datagram& summary,
-                                 std::vector<Outgoing>& out) {
+void AntiEntropy::reply_to_summary(Millis now, MemberId from, const Datagram& summary,
+                                   std::vector<Outgoing>& out) {
     std::vector<MemberId> members;
     std::vector<Item> items;  // requests for the sender's states, then the states to send
     for (const Item& item : summary.items) {
@@ -122,24 +122,24 @@
                 members_.at(theirs->member).fingerprint() == theirs->fingerprint)
                 continue;
             members.push_back(theirs->member);
-            if (theirs->fingerprint != 0) items.emplace_back(WantItem{theirs->member});
+            if (theirs->fingerprint != 0) items.emplace_back(StateRequestItem{theirs->member});
         }
-        if (const auto* want = std::get_if<WantItem>(&item))
-            if (members_.contains(want->member)) members.push_back(want->member);
+        if (const auto* request = std::get_if<StateRequestItem>(&item))
+            if (members_.contains(request->member)) members.push_back(request->member);
     }
     if (members.empty()) return;
     // Further differences are likely, so the next digest is sent sooner.
     next_sync_ = std::min(next_sync_, now + options_.sync_period / 4);
     // The reply is a summary only if it requests states. The reply to such requests is gossip, which ends the
     // exchange.
-    const bool wants_nothing = items.empty();
-    Datagram last = sender_.make(wants_nothing ? Kind::gossip : Kind::summary);
-    last.token = wants_nothing ? 1 : 0;
+    const bool requests_nothing = items.empty();
+    Datagram last = sender_.make(requests_nothing ? Kind::gossip : Kind::summary);
+    last.token = requests_nothing ? 1 : 0;
     append_states(items, members);
     send_states(now, from, items, last, out);
 }
 
-void AntiEntropy::answer_pull(Millis now, MemberId from, const Datagram& pull, std::vector<Outgoing>& out) {
+void AntiEntropy::reply_to_pull(Millis now, MemberId from, const Datagram& pull, std::vector<Outgoing>& out) {
     const std::vector<std::uint8_t> ranges = differing_ranges(pull);
     std::vector<MemberId> members;
     for (std::size_t i = 0; i < members_.size(); ++i)
@@ -167,20 +167,20 @@
 // `last`, but only the last datagram has the subject of `last`.
 void AntiEntropy::send_states(Millis now, MemberId to, const std::vector<Item>& items, const Datagram& last,
                               std::vector<Outgoing>& out) {
-    const std::size_t max_datagrams = last.subject != 0 ? kMaxPullAnswerDatagrams : kMaxAnswerDatagrams;
+    const std::size_t max_datagrams = last.subject != 0 ? kMaxPullReplyDatagrams : kMaxReplyDatagrams;
     Datagram header = last;
     header.subject = 0;
     Datagram datagram = header;
     std::size_t sent = 0;
     for (const Item& item : items) {
         if (datagram.add(item)) continue;
-        if (++sent >= max_datagrams || !may_answer(now)) break;
+        if (++sent >= max_datagrams || !admit_reply(now)) break;
         sender_.send(to, std::move(datagram), out, DatagramSender::Updates::none);
         datagram = header;
         datagram.add(item);
     }
     datagram.subject = last.subject;
-    if ((!datagram.items.empty() || datagram.subject != 0) && may_answer(now))
+    if ((!datagram.items.empty() || datagram.subject != 0) && admit_reply(now))
         sender_.send(to, std::move(datagram), out, DatagramSender::Updates::none);
 }
 
--- a/src/replication/anti_entropy.hpp
+++ b/src/replication/anti_entropy.hpp
@@ -28,12 +28,12 @@
     /// Hash of the state of all known members: equal at replicas that agree.
     std::uint32_t fingerprint() const;
     /// Whether the rate limit admits one more reply datagram; each one not admitted is counted.
-    bool may_answer(Millis now);
+    bool admit_reply(Millis now);
 
-    void answer_digest(Millis now, MemberId from, const Datagram& digest, std::vector<Outgoing>& out);
-    void answer_summary(Millis now, MemberId from, const Datagram& summary, std::vector<Outgoing>& out);
+    void reply_to_digest(Millis now, MemberId from, const Datagram& digest, std::vector<Outgoing>& out);
+    void reply_to_summary(Millis now, MemberId from, const Datagram& summary, std::vector<Outgoing>& out);
     /// Replies to a member that is catching up; a subject other than 0 marks the last datagram of the reply.
-    void answer_pull(Millis now, MemberId from, const Datagram& pull, std::vector<Outgoing>& out);
+    void reply_to_pull(Millis now, MemberId from, const Datagram& pull, std::vector<Outgoing>& out);
 
 private:
     using RangeHashes = std::array<std::uint32_t, kDigestRanges>;
@@ -52,7 +52,7 @@
     Random& random_;
     ReplicaCounts& counts_;
     Millis next_sync_ = kNever;
-    TokenBucket answer_budget_;
+    TokenBucket reply_budget_;
 };
 
 }  // namespace ochregrade::replication
--- a/src/replication/broadcaster.cpp
+++ b/src/replication/broadcaster.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Delay of a broadcast (milliseconds): records published meanwhile are sent in the same datagram.
-constexpr Millis kCollectTime = 20;
+constexpr Millis kBatchDelay = 20;
 constexpr double kMaxBurst = 3;  // broadcasts that the budget admits at once
 
 }  // namespace
@@ -22,35 +22,35 @@
 bool Broadcaster::admit(Millis now) {
     if (due_ != kNever) return true;
     if (!budget_.take(now)) return false;
-    due_ = now + kCollectTime;
+    due_ = now + kBatchDelay;
     return true;
 }
 
 bool Broadcaster::add_evidence(Millis now, EndpointKey endpoint) {
     if (!admit(now)) return false;
-    if (std::find(evidence_.begin(), evidence_.end(), endpoint) == evidence_.end())
-        evidence_.push_back(endpoint);
+    if (std::find(pending_evidence_.begin(), pending_evidence_.end(), endpoint) == pending_evidence_.end())
+        pending_evidence_.push_back(endpoint);
     return true;
 }
 
 bool Broadcaster::add_versions(Millis now) {
-    versions_ = admit(now);
-    return versions_;
+    versions_pending_ = admit(now);
+    return versions_pending_;
 }
 
 void Broadcaster::send(Millis now, std::vector<Outgoing>& out) {
     due_ = kNever;
     const MemberId self = members_.self();
     Datagram datagram = sender_.make(Kind::broadcast);
-    if (versions_)
+    if (versions_pending_)
         if (const auto item = members_.item(UpdateKey::versions(self))) datagram.add(*item);
-    versions_ = false;
-    for (const EndpointKey endpoint : evidence_) {
+    versions_pending_ = false;
+    for (const EndpointKey endpoint : pending_evidence_) {
         const UpdateKey key = UpdateKey::evidence(self, endpoint);
         const auto item = members_.item(key);
         if (item && !datagram.add(*item)) updates_.add(now, key);
     }
-    evidence_.clear();
+    pending_evidence_.clear();
     if (!datagram.items.empty()) sender_.send_to_all(datagram, out);
 }
 
--- a/src/replication/broadcaster.hpp
+++ b/src/replication/broadcaster.hpp
@@ -32,8 +32,8 @@
     const MemberTable& members_;
     PendingUpdates& updates_;
     DatagramSender& sender_;
-    std::vector<EndpointKey> evidence_;  // endpoints whose evidence the next broadcast contains
-    bool versions_ = false;              // whether the next broadcast contains the versions
+    std::vector<EndpointKey> pending_evidence_;  // endpoints whose evidence the next broadcast contains
+    bool versions_pending_ = false;              // whether the next broadcast contains the versions
     Millis due_ = kNever;
     TokenBucket budget_;
 };
--- a/src/replication/catch_up.cpp
+++ b/src/replication/catch_up.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t kPulledMembers = 3;  // per pull
-constexpr std::size_t kAnswersNeeded = 2;  // from different members
+constexpr std::size_t kRepliesNeeded = 2;  // from different members
 constexpr Millis kRetryInterval = 250;     // milliseconds between pulls, plus a random 0 to 50 %
 constexpr int kMaxPulls = 12;
 
@@ -25,7 +25,7 @@
     if (!options_.repair) return;
     pulls_ = 0;
     finished_ = members_.size() == 1;
-    answered_.clear();
+    replied_.clear();
     pull(now, out);
 }
 
@@ -41,9 +41,9 @@
 
 void CatchUp::answered(MemberId from) {
     if (next_pull_ == kNever) return;
-    if (std::find(answered_.begin(), answered_.end(), from) != answered_.end()) return;
-    answered_.push_back(from);
-    if (answered_.size() < std::min(kAnswersNeeded, members_.size() - 1)) return;
+    if (std::find(replied_.begin(), replied_.end(), from) != replied_.end()) return;
+    replied_.push_back(from);
+    if (replied_.size() < std::min(kRepliesNeeded, members_.size() - 1)) return;
     finished_ = true;
     next_pull_ = kNever;
 }
--- a/src/replication/catch_up.hpp
+++ b/src/replication/catch_up.hpp
@@ -42,7 +42,7 @@
     Random& random_;
     Millis next_pull_ = kNever;
     int pulls_ = 0;
-    std::vector<MemberId> answered_;
+    std::vector<MemberId> replied_;  // members whose reply is complete
     bool finished_ = false;
 };
 
--- a/src/replication/codec.cpp
+++ b/src/replication/codec.cpp
@@ -32,7 +32,7 @@
     visit(i.member), visit(i.fingerprint);
 }
 template <class Visit>
-void fields(WantItem& i, Visit visit) {
+void fields(StateRequestItem& i, Visit visit) {
     visit(i.member);
 }
 template <class Visit>
--- a/src/replication/codec.hpp
+++ b/src/replication/codec.hpp
@@ -73,9 +73,9 @@
     bool operator==(const FingerprintItem&) const = default;
 };
 /// Requests all state that the receiver holds of the member.
-struct WantItem {
+struct StateRequestItem {
     MemberId member = 0;
-    bool operator==(const WantItem&) const = default;
+    bool operator==(const StateRequestItem&) const = default;
 };
 /// Hash of the fingerprints of a range of members.
 struct RangeItem {
@@ -83,7 +83,8 @@
     std::uint32_t hash = 0;
     bool operator==(const RangeItem&) const = default;
 };
-using Item = std::variant<MemberItem, EvidenceItem, VersionsItem, FingerprintItem, WantItem, RangeItem>;
+using Item =
+    std::variant<MemberItem, EvidenceItem, VersionsItem, FingerprintItem, StateRequestItem, RangeItem>;
 
 /// Bytes on the wire, including the tag.
 std::size_t size_of(const Item& item);
--- a/src/replication/evidence_view.cpp
+++ b/src/replication/evidence_view.cpp
@@ -26,15 +26,15 @@
     void add(MemberId origin, const Record<Evidence>& record) {
         const Evidence& evidence = record.value;
         totals.successes += evidence.successes;
-        totals.withdrawals += record.firsthand && (evidence.flags & kWithdrawn) != 0;
+        totals.withdrawals += record.direct && (evidence.flags & kWithdrawn) != 0;
         totals.recoveries += (evidence.flags & kRecovered) != 0;
-        if (evidence.latency_ratio > 0 && record.firsthand) {
+        if (evidence.latency_ratio > 0 && record.direct) {
             latency_ratios += evidence.latency_ratio;
             ++totals.latency_reporters;
         }
         if (!reports_failure(evidence)) return;
         ++totals.reporters;
-        if (record.firsthand) {
+        if (record.direct) {
             ++totals.direct_reporters;
             totals.failures += evidence.failures;
         } else {
@@ -102,7 +102,7 @@
     std::map<MemberId, int> endpoints_reported;
     for (const auto& [endpoint, origins] : indirect)
         for (const MemberId origin : origins)
-            if (!asked_.count(origin)) ++endpoints_reported[origin];
+            if (!requested_at_.count(origin)) ++endpoints_reported[origin];
     std::vector<std::pair<double, MemberId>> ranked;
     ranked.reserve(endpoints_reported.size());
     for (const auto& [origin, endpoints] : endpoints_reported)
@@ -116,16 +116,16 @@
 
 void EvidenceView::request_confirmations(Millis now, const IndirectReporters& indirect,
                                          std::vector<Outgoing>& out) {
-    std::erase_if(asked_, [&](const auto& entry) { return now >= entry.second + kConfirmPeriod; });
+    std::erase_if(requested_at_, [&](const auto& entry) { return now >= entry.second + kConfirmPeriod; });
     std::set<MemberId> chosen;
     // Whether the origin reports an endpoint for which too few origins have been asked so far.
     const auto is_needed = [&](MemberId origin) {
         return std::any_of(indirect.begin(), indirect.end(), [&](const auto& entry) {
             const std::vector<MemberId>& origins = entry.second;
-            const auto asked = std::count_if(origins.begin(), origins.end(), [&](MemberId other) {
-                return chosen.count(other) > 0 || asked_.count(other) > 0;
+            const auto requested = std::count_if(origins.begin(), origins.end(), [&](MemberId other) {
+                return chosen.count(other) > 0 || requested_at_.count(other) > 0;
             });
-            return asked < static_cast<std::ptrdiff_t>(kQuorum) &&
+            return requested < static_cast<std::ptrdiff_t>(kQuorum) &&
                    std::find(origins.begin(), origins.end(), origin) != origins.end();
         });
     };
@@ -134,13 +134,13 @@
         if (!is_needed(origin)) continue;
         chosen.insert(origin);
         Datagram request = sender_.make(Kind::summary);
-        request.add(WantItem{origin});
+        request.add(StateRequestItem{origin});
         ++counts_.confirmations;
         sender_.send(origin, std::move(request), out);
     }
-    for (const MemberId origin : chosen) asked_[origin] = now;
+    for (const MemberId origin : chosen) requested_at_[origin] = now;
     // Replies may get lost, so the next rebuild checks again.
-    if (!asked_.empty() && !indirect.empty()) outdated_ = true;
+    if (!requested_at_.empty() && !indirect.empty()) outdated_ = true;
 }
 
 }  // namespace ochregrade::replication
--- a/src/replication/evidence_view.hpp
+++ b/src/replication/evidence_view.hpp
@@ -56,7 +56,7 @@
     ReplicaCounts& counts_;
     std::vector<EndpointTotals> totals_;
     std::map<EndpointKey, Reporters> reporters_;  // as of the last rebuild
-    std::map<MemberId, Millis> asked_;            // origins asked for confirmation, and when
+    std::map<MemberId, Millis> requested_at_;     // origins asked for confirmation, and when
     bool outdated_ = false;
     bool members_changed_ = false;
     Millis rebuilt_at_ = kLongAgo;
--- a/src/replication/failure_detector.cpp
+++ b/src/replication/failure_detector.cpp
@@ -9,15 +9,15 @@
 
 // Greatest probability that a probe of a running member fails. From this bound and the share of lost pings
 // follows the number of pings of a probe, at most kMaxPings.
-constexpr double kMaxFalseSilence = 0.002;
+constexpr double kMaxFalsePositiveRate = 0.002;
 constexpr double kMaxPings = 25;
 constexpr double kMinLoss = 0.01;
 constexpr double kMaxLoss = 0.99;
 constexpr double kMinSuspicionProbes = 2.0;
-constexpr double kSuspectPings = 24;  // members of the fleet, on average, that ping a suspect directly
+constexpr double kDirectPingers = 24;  // members of the fleet, on average, that ping a suspect directly
 // Probability per probe of a ping to a dead or unknown member too, since that member may have restarted or a
 // partition may have healed.
-constexpr double kUnreachablePingShare = 0.5;
+constexpr double kUnreachablePingProbability = 0.5;
 
 }  // namespace
 
@@ -47,7 +47,7 @@
     if (probe_.active && now >= probe_.retry_at && now < next_probe_) ping_target(now, out);
     if (now < next_probe_) return;
     end_probe(now);
-    next_probe_ = now + probe_time();
+    next_probe_ = now + probe_interval();
     start_probe(now, out);
 }
 
@@ -72,7 +72,7 @@
                       .retry_at = now,
                       .loss_before = parts_.ping_loss.share(),
                       .active = true,
-                      .asked_helpers = false,
+                      .indirect_probes_requested = false,
                       .first_ping = true};
             ping_target(now, out);
             return;
@@ -87,7 +87,7 @@
         const auto id = static_cast<MemberId>(i);
         if (id != parts_.members.self() && !parts_.members.is_alive(id)) unreachable.push_back(id);
     }
-    if (unreachable.empty() || parts_.random.unit() >= kUnreachablePingShare) return;
+    if (unreachable.empty() || parts_.random.unit() >= kUnreachablePingProbability) return;
     Datagram ping = parts_.sender.make(Kind::ping);
     ping.token = parts_.sender.next_token();
     parts_.sender.send(unreachable[parts_.random.below(unreachable.size())], std::move(ping), out);
@@ -103,19 +103,19 @@
     const bool first = probe_.first_ping;
     probe_.first_ping = false;
     parts_.ping_loss.sent();
-    probe_.retry_at = now + parts_.options.ack_time;
+    probe_.retry_at = now + parts_.options.ack_timeout;
     Datagram ping = parts_.sender.make(Kind::ping);
     ping.token = probe_.token;
     ping.subject = probe_.target;
     parts_.sender.send(probe_.target, std::move(ping), out);
-    if (!first && !probe_.asked_helpers) ask_helpers(out);
+    if (!first && !probe_.indirect_probes_requested) request_indirect_probes(out);
 }
 
 // Asks other members to ping the target too, once per probe.
-void FailureDetector::ask_helpers(std::vector<Outgoing>& out) {
-    probe_.asked_helpers = true;
+void FailureDetector::request_indirect_probes(std::vector<Outgoing>& out) {
+    probe_.indirect_probes_requested = true;
     const auto helpers =
-        parts_.members.random_others(parts_.random, static_cast<std::size_t>(parts_.options.indirect),
+        parts_.members.random_others(parts_.random, static_cast<std::size_t>(parts_.options.indirect_probes),
                                      MemberTable::Preference::alive_only);
     for (const MemberId helper : helpers) {
         if (helper == probe_.target) continue;
@@ -135,17 +135,18 @@
     set_status(now, probe_.target, Status::suspect);
 }
 
-Millis FailureDetector::probe_time() const {
+Millis FailureDetector::probe_interval() const {
     const double loss = std::clamp(parts_.ping_loss.share(), kMinLoss, kMaxLoss);
-    const double pings = std::min(kMaxPings, std::ceil(std::log(kMaxFalseSilence) / std::log(loss)));
-    return std::max(parts_.options.probe_period, pings * parts_.options.ack_time);
+    const double pings = std::min(kMaxPings, std::ceil(std::log(kMaxFalsePositiveRate) / std::log(loss)));
+    return std::max(parts_.options.probe_period, pings * parts_.options.ack_timeout);
 }
 
 // ---- Suspicion -------------------------------------------------------------------------------------------
 
-Millis FailureDetector::suspicion_time() const {
+Millis FailureDetector::suspicion_timeout() const {
     const auto members = static_cast<double>(parts_.members.size());
-    return probe_time() * std::max(kMinSuspicionProbes, parts_.options.suspicion * std::log2(members + 1));
+    return probe_interval() *
+           std::max(kMinSuspicionProbes, parts_.options.suspicion_multiplier * std::log2(members + 1));
 }
 
 void FailureDetector::expire_suspicions(Millis now) {
@@ -153,7 +154,7 @@
     for (const auto& [id, until] : suspicions_)
         if (now >= until) expired.push_back(id);
     for (const MemberId id : expired) {
-        ++parts_.counts.died;
+        ++parts_.counts.declared_dead;
         set_status(now, id, Status::dead);
     }
 }
@@ -173,11 +174,11 @@
         suspicions_.erase(id);
         return;
     }
-    const Millis time = suspicion_time();
+    const Millis time = suspicion_timeout();
     suspicions_[id] = now + time;
     // A few of the members that suspect it ping it directly: the ping contains the suspicion and the ack
     // contains the refutation.
-    if (parts_.random.unit() * static_cast<double>(parts_.members.size()) < kSuspectPings)
+    if (parts_.random.unit() * static_cast<double>(parts_.members.size()) < kDirectPingers)
         direct_pings_[id] = now + time * parts_.random.unit();
 }
 
--- a/src/replication/failure_detector.hpp
+++ b/src/replication/failure_detector.hpp
@@ -53,7 +53,7 @@
         Millis retry_at = 0;
         double loss_before = 0;  // share of lost pings when the probe started, 0 to 1
         bool active = false;
-        bool asked_helpers = false;
+        bool indirect_probes_requested = false;
         bool first_ping = false;
     };
     /// A ping sent on another member's behalf.
@@ -72,10 +72,10 @@
     void ping_unreachable_member(std::vector<Outgoing>& out);
     void shuffle_round();
     void ping_target(Millis now, std::vector<Outgoing>& out);
-    void ask_helpers(std::vector<Outgoing>& out);
+    void request_indirect_probes(std::vector<Outgoing>& out);
     void end_probe(Millis now);
-    Millis probe_time() const;
-    Millis suspicion_time() const;
+    Millis probe_interval() const;
+    Millis suspicion_timeout() const;
 
     Parts parts_;
     std::vector<MemberId> round_;  // members not yet probed in this round; the last one is next
--- a/src/replication/pending_updates.hpp
+++ b/src/replication/pending_updates.hpp
@@ -18,8 +18,8 @@
 
     /// Starts to disseminate the item; an item that is already pending starts over.
     void add(Millis now, const UpdateKey& key);
-    void remove(const UpdateKey& key) { sent_.erase(key); }
-    bool empty() const { return sent_.empty(); }
+    void remove(const UpdateKey& key) { transmits_.erase(key); }
+    bool empty() const { return transmits_.empty(); }
     /// Adds the updates that fit, without evidence and versions of which the receiver is the origin.
     void attach(Datagram& datagram, MemberId receiver);
 
@@ -29,13 +29,13 @@
     void stop() { next_round_ = kNever; }
 
 private:
-    int max_repeats() const;
-    int repeats_of(const Item& item, int max_repeats) const;
+    int max_transmits() const;
+    int transmit_limit(const Item& item, int max_transmits) const;
 
     const MemberTable& members_;
     const PingLoss& ping_loss_;
     const Options& options_;
-    std::map<UpdateKey, int> sent_;  // number of times that each update has been sent
+    std::map<UpdateKey, int> transmits_;  // number of times that each update has been sent
     Millis next_round_ = kNever;
     Millis last_round_ = kLongAgo;
 };
--- a/src/replication/records.cpp
+++ b/src/replication/records.cpp
@@ -14,7 +14,7 @@
 template <class Value>
 void join_copies(Record<Value>& record, const Record<Value>& copy) {
     record.expires = std::min(record.expires, copy.expires);
-    record.firsthand |= copy.firsthand;
+    record.direct |= copy.direct;
 }
 
 std::uint64_t hash_of(std::initializer_list<std::uint32_t> words) {
--- a/src/replication/records.hpp
+++ b/src/replication/records.hpp
@@ -68,8 +68,8 @@
 struct Record {
     std::uint32_t sequence = 0;  // numbers the origin's writes
     Value value{};
-    Millis expires = 0;      // on the reader's clock; unused for Versions
-    bool firsthand = false;  // received from the origin's own address, so not forged by another member
+    Millis expires = 0;   // on the reader's clock; unused for Versions
+    bool direct = false;  // received from the origin's own address, so not forged by another member
     /// Whether this record replaces `other`, which has the same key.
     bool supersedes(const Record& other) const {
         return sequence != other.sequence ? sequence > other.sequence : value > other.value;
@@ -85,7 +85,7 @@
     const std::optional<Record<Versions>>& versions() const { return versions_; }
     std::uint32_t highest_sequence() const;  // of all records; at least the floor
 
-    /// Each returns whether the join changed anything other than an expiry or `firsthand`.
+    /// Each returns whether the join changed anything other than an expiry or `direct`.
     bool join(const MemberState& state);
     bool join(std::uint32_t epoch, EndpointKey key, const Record<Evidence>& record);
     bool join(std::uint32_t epoch, const Record<Versions>& record);
@@ -97,7 +97,7 @@
     /// Removes evidence that has expired by `now`; returns whether there was any.
     bool expire(Millis now);
 
-    /// XXH64 of the state without expiries and `firsthand`: equal for copies that agree. 0: unknown member.
+    /// XXH64 of the state without expiries and `direct`: equal for copies that agree. 0: unknown member.
     std::uint32_t fingerprint() const;
 
 private:
--- a/src/replication/replica.cpp
+++ b/src/replication/replica.cpp
@@ -135,34 +135,34 @@
     // sender refutes the state.
     merge(now, MemberItem{from, {datagram.epoch, datagram.incarnation, Status::alive}, 0});
     merge_items(now, from, datagram);
-    answer(now, from, datagram, out);
+    reply(now, from, datagram, out);
     // If this member holds the sender suspect or dead, the sender gets that state and can refute it.
     if (datagram.kind == Kind::gossip && members_.at(from).member_state().status != Status::alive &&
-        anti_entropy_.may_answer(now))
+        anti_entropy_.admit_reply(now))
         sender_.send(from, sender_.make(Kind::gossip), out);
     view_.refresh(now, out);
 }
 
 void Replica::merge_items(Millis now, MemberId from, const Datagram& datagram) {
-    const bool is_answer = datagram.kind == Kind::gossip && datagram.token != 0;
+    const bool is_reply = datagram.kind == Kind::gossip && datagram.token != 0;
     const bool disseminate = datagram.kind != Kind::broadcast;
     for (const Item& item : datagram.items) {
         bool changed = false;
         if (const auto* member = std::get_if<MemberItem>(&item)) {
             changed = merge(now, *member);
-            // That a member is alive, brought by an answer, is no longer new to the others.
-            if (changed && is_answer && member->state.status == Status::alive && member->member != self())
+            // A reply that shows a member to be alive contains nothing new for the other members.
+            if (changed && is_reply && member->state.status == Status::alive && member->member != self())
                 updates_.remove(UpdateKey::member(member->member));
         } else if (const auto* evidence = std::get_if<EvidenceItem>(&item)) {
             changed = merge(now, from, *evidence, disseminate);
         } else if (const auto* versions = std::get_if<VersionsItem>(&item)) {
             changed = merge(now, from, *versions, disseminate);
         }
-        counts_.repaired += changed && is_answer;
+        counts_.repaired += changed && is_reply;
     }
 }
 
-void Replica::answer(Millis now, MemberId from, const Datagram& datagram, std::vector<Outgoing>& out) {
+void Replica::reply(Millis now, MemberId from, const Datagram& datagram, std::vector<Outgoing>& out) {
     switch (datagram.kind) {
         case Kind::ping:
             return failure_detector_.handle_ping(from, datagram, out);
@@ -171,11 +171,11 @@
         case Kind::ack:
             return failure_detector_.handle_ack(from, datagram, out);
         case Kind::digest:
-            return anti_entropy_.answer_digest(now, from, datagram, out);
+            return anti_entropy_.reply_to_digest(now, from, datagram, out);
         case Kind::pull:
-            return anti_entropy_.answer_pull(now, from, datagram, out);
+            return anti_entropy_.reply_to_pull(now, from, datagram, out);
         case Kind::summary:
-            return anti_entropy_.answer_summary(now, from, datagram, out);
+            return anti_entropy_.reply_to_summary(now, from, datagram, out);
         case Kind::gossip:
             if (datagram.token != 0 && datagram.subject != 0) catch_up_.answered(from);
             return;
@@ -227,7 +227,7 @@
     const Record<Evidence> record{item.sequence, item.evidence, now + lifetime, from == item.origin};
     const bool changed = origin.join(item.epoch, item.endpoint, record);
     if (origin.member_state().epoch != epoch_before) failure_detector_.member_state_changed(now, item.origin);
-    view_.mark_outdated();  // even if only Record::firsthand has changed
+    view_.mark_outdated();  // even if only Record::direct has changed
     if (changed && disseminate && view_.reporters(item.endpoint) < kMaxDisseminatedOrigins)
         updates_.add(now, UpdateKey::evidence(item.origin, item.endpoint));
     return changed;
--- a/src/replication/replica.hpp
+++ b/src/replication/replica.hpp
@@ -69,7 +69,7 @@
     void gossip(Millis now, std::vector<Outgoing>& out);
     void process(Millis now, MemberId from, const Datagram& datagram, std::vector<Outgoing>& out);
     void merge_items(Millis now, MemberId from, const Datagram& datagram);
-    void answer(Millis now, MemberId from, const Datagram& datagram, std::vector<Outgoing>& out);
+    void reply(Millis now, MemberId from, const Datagram& datagram, std::vector<Outgoing>& out);
 
     // Each returns whether the item changed the state.
     bool merge(Millis now, const MemberItem& item);
--- a/tests/replication/codec_test.cpp
+++ b/tests/replication/codec_test.cpp
@@ -23,7 +23,7 @@
                 case 3:
                     return FingerprintItem{id, a};
                 case 4:
-                    return WantItem{id};
+                    return StateRequestItem{id};
                 default:
                     return RangeItem{static_cast<std::uint8_t>(e % kDigestRanges), a};
             }
--- a/tests/replication/fleet_convergence_test.cpp
+++ b/tests/replication/fleet_convergence_test.cpp
@@ -159,7 +159,7 @@
     f.run_for(60000);
     EXPECT_TRUE(all_know_who_runs(f));
     std::uint64_t died = 0;
-    for (std::size_t i = 0; i < 60; ++i) died += f.at(i).counts().died;
+    for (std::size_t i = 0; i < 60; ++i) died += f.at(i).counts().declared_dead;
     EXPECT_EQ(died, 0u);
 }
 
--- a/tests/replication/recorded_datagrams_test.cpp
+++ b/tests/replication/recorded_datagrams_test.cpp
@@ -35,7 +35,7 @@
 const EvidenceItem kEvidence{0x0102, 0x6553f104, 0xdeadbeef, 0x00010203, {200, 55, 64, 5}, 99};
 const VersionsItem kVersions{0x0304, 0x6553f105, 0x00040506, {11, 0xcafef00d, 3, 0x12345678}};
 const FingerprintItem kFingerprint{0x0506, 0x89abcdef};
-const WantItem kWant{0x0708};
+const StateRequestItem kWant{0x0708};
 const RangeItem kRange{15, 0x76543210};
 
 std::vector<Case> cases() {
--- a/tests/replication/records_test.cpp
+++ b/tests/replication/records_test.cpp
@@ -11,8 +11,7 @@
 // Equality of everything, not only of what the fingerprint covers.
 template <class Value>
 bool operator==(const Record<Value>& a, const Record<Value>& b) {
-    return a.sequence == b.sequence && a.value == b.value && a.expires == b.expires &&
-           a.firsthand == b.firsthand;
+    return a.sequence == b.sequence && a.value == b.value && a.expires == b.expires && a.direct == b.direct;
 }
 bool operator==(const OriginState& a, const OriginState& b) {
     return a.member_state() == b.member_state() && a.floor() == b.floor() && a.evidence() == b.evidence() &&
@@ -34,18 +33,18 @@
     MemberState standing;
     Versions versions;
     Millis expires;
-    bool firsthand;
+    bool direct;
     bool apply(OriginState& to) const {
         if (subject == 0) return to.join(standing);
-        if (subject == 1) return to.join(epoch, Record<Versions>{sequence, versions, 0, firsthand});
-        return to.join(epoch, server, Record<Evidence>{sequence, evidence, expires, firsthand});
+        if (subject == 1) return to.join(epoch, Record<Versions>{sequence, versions, 0, direct});
+        return to.join(epoch, server, Record<Evidence>{sequence, evidence, expires, direct});
     }
 };
 
 rc::Gen<Write> write(std::uint32_t keys) {
     return rc::gen::apply(
         [=](std::uint32_t epoch, std::uint32_t sequence, int subject, std::uint32_t key, std::uint8_t bad,
-            int status, int left, bool firsthand) {
+            int status, int left, bool direct) {
             Write result{epoch,
                          sequence,
                          subject,
@@ -54,7 +53,7 @@
                          {epoch, sequence % 3, static_cast<Status>(status)},
                          {bad, key, 0, sequence},
                          100.0 + left,
-                         firsthand};
+                         direct};
             return result;
         },
         rc::gen::inRange<std::uint32_t>(1, 3), rc::gen::inRange<std::uint32_t>(1, 3 * keys),
--- a/tests/replication/replica_test.cpp
+++ b/tests/replication/replica_test.cpp
@@ -56,7 +56,7 @@
     single.replica.receive(single.now, 1, Bytes{kFormatByte}, single.out);
     single.replica.receive(single.now, 1, Bytes(40, 0), single.out);
     single.replica.receive(single.now, 1, Bytes(40, kFormatByte), single.out);
-    Bytes odd = encode(Datagram{Kind::gossip, kEpoch, 0, 0, 0, {WantItem{3}}});
+    Bytes odd = encode(Datagram{Kind::gossip, kEpoch, 0, 0, 0, {StateRequestItem{3}}});
     odd.pop_back();
     single.replica.receive(single.now, 1, odd, single.out);
     const auto& f = single.replica.counts().decode_errors;
@@ -72,10 +72,10 @@
     SingleReplica single;
     single.receive(1, {});
     const auto before = single.replica.fingerprint();
-    single.receive(
-        1, {MemberItem{10, {kEpoch, 0, Status::alive}, 0}, failure_report(9999, 5),
-            MemberItem{4, {kEpoch + 8000, 0, Status::alive}, 0},
-            EvidenceItem{5, kEpoch + 9000, 1, 1, {0, 9, 0, 0}, 50}, WantItem{77}, FingerprintItem{60000, 1}});
+    single.receive(1, {MemberItem{10, {kEpoch, 0, Status::alive}, 0}, failure_report(9999, 5),
+                       MemberItem{4, {kEpoch + 8000, 0, Status::alive}, 0},
+                       EvidenceItem{5, kEpoch + 9000, 1, 1, {0, 9, 0, 0}, 50}, StateRequestItem{77},
+                       FingerprintItem{60000, 1}});
     EXPECT_EQ(single.replica.fingerprint(), before);
     EXPECT_EQ(single.replica.counts().unknown_members, 2u);
     EXPECT_EQ(single.replica.counts().implausible_epochs, 2u);
@@ -97,7 +97,7 @@
     for (const Outgoing& o : single.out) {
         const Datagram d = std::get<Datagram>(decode(o.bytes));
         for (const Item& i : d.items)
-            if (const auto* w = std::get_if<WantItem>(&i); w && w->member == o.to) asked.insert(o.to);
+            if (const auto* w = std::get_if<StateRequestItem>(&i); w && w->member == o.to) asked.insert(o.to);
     }
     EXPECT_GE(asked.size(), 2u);
     for (const MemberId origin : asked) single.receive(origin, {failure_report(origin, 5)});
