--- a/tests/fleet/gossip_transport_test.cpp
+++ b/tests/fleet/gossip_transport_test.cpp
@@ -1,4 +1,5 @@
-// Datagrams between sidecars.
+// The gossip transport accepts and sends only datagrams of at most 256 bytes, and accepts them only from the
+// addresses of peers.
 #include "fleet/gossip_transport.hpp"
 
 #include "support/stepped_sidecar.hpp"
@@ -30,7 +31,7 @@
     peer.send_to(asio::buffer(longest_accepted), address);
     io.run_for(kPatience);
     EXPECT_EQ(received, std::vector<std::vector<std::uint8_t>>{longest_accepted});
-    transport->send(1, too_long);  // would break the rule on length: stays here
+    transport->send(1, too_long);  // over the length limit, so not sent
     transport->send(1, short_one);
     std::array<std::uint8_t, 512> bytes{};
     EXPECT_EQ(peer.receive(asio::buffer(bytes)), short_one.size());
--- a/tests/replication/codec_test.cpp
+++ b/tests/replication/codec_test.cpp
@@ -1,4 +1,4 @@
-// The encoding of datagrams, as a property.
+// Property of the codec: any datagram fits 256 bytes and decodes to itself, and a damaged one is rejected.
 #include "replication/codec.hpp"
 
 #include <gtest/gtest.h>
@@ -45,7 +45,7 @@
     RC_ASSERT(bytes.size() <= kMaxDatagramBytes);
     RC_ASSERT(bytes.size() == d.size());
     RC_ASSERT(std::get<Datagram>(decode(bytes)) == d);
-    // Truncated, or with any one bit flipped, it is rejected.
+    // A datagram that is truncated or has one flipped bit is rejected.
     const auto cut = *rc::gen::inRange<std::size_t>(0, bytes.size());
     RC_ASSERT(std::holds_alternative<DecodeError>(decode(std::span(bytes).first(cut))));
     Bytes flipped = bytes;
--- a/tests/replication/decode_fuzz.cpp
+++ b/tests/replication/decode_fuzz.cpp
@@ -1,6 +1,6 @@
-// Fuzz target for received datagrams: decodes them, encodes them again, and passes them to a replica.
-// With libFuzzer: -DOCHREGRADE_FUZZ=ON (clang). Without it, main() below runs the corpus and a fixed number
-// of mutations of it, the same ones every time.
+// Fuzz target for received datagrams: decodes a datagram, encodes it again, and passes it to a replica.
+// -DOCHREGRADE_FUZZ=ON (clang) builds the target with libFuzzer. Without libFuzzer, main() below runs the
+// target on the corpus and on a fixed number of mutations of it, which are the same in every run.
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -17,9 +17,9 @@
     const std::span<const std::uint8_t> bytes(data, size);
     const auto decoded = decode(bytes);
     if (const auto* d = std::get_if<Datagram>(&decoded))
-        if (const Bytes again = encode(*d); !std::equal(again.begin(), again.end(), data, data + size))
+        if (const Bytes encoded = encode(*d); !std::equal(encoded.begin(), encoded.end(), data, data + size))
             std::abort();
-    // The checksum keeps most mutations out: with it put right they get to the parts behind.
+    // Most mutations fail the checksum; with a corrected checksum they reach the replica.
     constexpr Millis kNow = 1.7e12;
     Replica replica(1, 40, 1'700'000'000, 5);
     std::vector<Outgoing> out;
@@ -86,9 +86,10 @@
 int main(int argc, char** argv) {
     if (argc != 3) return 2;
     const std::vector<Bytes> corpus = read_corpus(argv[1]);
-    if (corpus.size() < 7) return fail("the corpus is not there\n");
+    if (corpus.size() < 7) return fail("the corpus has fewer than 7 files\n");
     for (const Bytes& seed : corpus) {
-        if (std::holds_alternative<DecodeError>(decode(seed))) return fail("a seed is no datagram\n");
+        if (std::holds_alternative<DecodeError>(decode(seed)))
+            return fail("a file of the corpus is not a valid datagram\n");
         LLVMFuzzerTestOneInput(seed.data(), seed.size());
     }
     std::mt19937_64 random(1);
--- a/tests/replication/fleet_convergence_test.cpp
+++ b/tests/replication/fleet_convergence_test.cpp
@@ -1,5 +1,5 @@
-// Many replicas on a simulated network: convergence through thousands of seeded schedules of faults, and what
-// a fleet must do under loss, restarts, pauses and partitions.
+// Fleets of replicas on a simulated network: convergence after seeded random schedules of faults, and
+// detection, dissemination and catch-up under loss, restarts, pauses and partitions.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,7 +14,8 @@
 using ochregrade::lab::Network;
 using ochregrade::lab::SimFleet;
 
-bool all_know_who_runs(const SimFleet& f) {
+// Whether every running member holds exactly the running members alive.
+bool all_hold_running_members_alive(const SimFleet& f) {
     for (std::size_t i = 0; i < f.size(); ++i)
         for (std::size_t j = 0; j < f.size(); ++j) {
             if (!f.up(i)) continue;
@@ -24,15 +25,15 @@
     return true;
 }
 
-// A fleet with faults drawn from the seed.
+// A fleet whose size, network and faults are drawn from the seed.
 class RandomSchedule {
 public:
     RandomSchedule(std::uint64_t seed, const Options& options)
         : random_(seed), network_(draw_network()), fleet_(3 + below(8), seed, network_, options) {}
 
-    // Some seconds of faults, then none. Returns whether all running members come to agree within `patience`:
-    // on all records, and on who runs.
-    bool converges_within(SimFleet::Millis patience) {
+    // Applies faults for some seconds and ends them. Returns whether all running members then agree on all
+    // records and on the running members within `timeout` (milliseconds).
+    bool converges_within(SimFleet::Millis timeout) {
         fleet_.start_all();
         paused_.resize(fleet_.size());
         for (int step = 0; step < 12; ++step) {
@@ -42,7 +43,8 @@
         publish_last_records();
         fleet_.run_for(400);
         end_faults();
-        return fleet_.run_until([&] { return fleet_.agree() && all_know_who_runs(fleet_); }, patience, 250);
+        return fleet_.run_until([&] { return fleet_.agree() && all_hold_running_members_alive(fleet_); },
+                                timeout, 250);
     }
 
 private:
@@ -81,7 +83,7 @@
 
     void restart(std::size_t i) {
         if (fleet_.up(i) || paused_[i]) return;
-        fleet_.set_clock_offset(i, below(3) == 0 ? -5000.0 : 0);  // a clock that was stepped back
+        fleet_.set_clock_offset(i, below(3) == 0 ? -5000.0 : 0);  // the clock was stepped back
         fleet_.start(i);
     }
 
@@ -111,26 +113,26 @@
 };
 
 TEST(Convergence, AllConnectedMembersAgreeAfterAnySchedule) {
-    int late = 0;
+    int not_converged = 0;
     for (std::uint64_t seed = 1; seed <= 2000; ++seed) {
         if (RandomSchedule(seed, {}).converges_within(40000)) continue;
-        ++late;
+        ++not_converged;
         ADD_FAILURE() << "seed " << seed << " did not converge";
-        if (late > 5) return;
+        if (not_converged > 5) return;
     }
 }
 
-// The same check must notice when the repair is missing.
-TEST(Convergence, IsMissedWithoutRepair) {
+// Shows that the check of the test above detects missing anti-entropy and catch-up.
+TEST(Convergence, FailsWithoutRepair) {
     Options broken;
     broken.repair = false;
-    int late = 0;
+    int not_converged = 0;
     for (std::uint64_t seed = 1; seed <= 100; ++seed)
-        late += !RandomSchedule(seed, broken).converges_within(40000);
-    EXPECT_GT(late, 10);
+        not_converged += !RandomSchedule(seed, broken).converges_within(40000);
+    EXPECT_GT(not_converged, 10);
 }
 
-std::size_t members_knowing(const SimFleet& f, EndpointKey endpoint) {
+std::size_t members_with_quorum(const SimFleet& f, EndpointKey endpoint) {
     std::size_t n = 0;
     for (std::size_t i = 0; i < f.size(); ++i)
         n += f.up(i) && std::any_of(f.at(i).evidence().begin(), f.at(i).evidence().end(), [&](const auto& e) {
@@ -146,24 +148,24 @@
         f.run_for(8000);
         for (std::size_t i = 0; i < 60; i += 12) f.publish(i, 42, {0, 3, 0, 0});
         const bool known =
-            f.run_until([&] { return members_knowing(f, 42) >= 55; }, loss > 0.3 ? 8000 : 2000);
-        EXPECT_TRUE(known) << "loss " << loss << ": " << members_knowing(f, 42);
+            f.run_until([&] { return members_with_quorum(f, 42) >= 55; }, loss > 0.3 ? 8000 : 2000);
+        EXPECT_TRUE(known) << "loss " << loss << ": " << members_with_quorum(f, 42);
         f.run_for(kEvidenceLifetime + 3000);
-        EXPECT_EQ(members_knowing(f, 42), 0u) << "evidence expires everywhere";
+        EXPECT_EQ(members_with_quorum(f, 42), 0u) << "evidence expires everywhere";
     }
 }
 
-TEST(Fleet, LossAloneDeclaresNobodyDead) {
+TEST(Fleet, LossAloneDeclaresNoMemberDead) {
     SimFleet f(60, 11, {0.1, 0.1, 1, 26});
     f.start_all();
     f.run_for(60000);
-    EXPECT_TRUE(all_know_who_runs(f));
-    std::uint64_t died = 0;
-    for (std::size_t i = 0; i < 60; ++i) died += f.at(i).counts().declared_dead;
-    EXPECT_EQ(died, 0u);
+    EXPECT_TRUE(all_hold_running_members_alive(f));
+    std::uint64_t declared_dead = 0;
+    for (std::size_t i = 0; i < 60; ++i) declared_dead += f.at(i).counts().declared_dead;
+    EXPECT_EQ(declared_dead, 0u);
 }
 
-TEST(Fleet, SevenInTenRestartedCatchUp) {
+TEST(Fleet, SeventyPercentRestartedCatchUp) {
     SimFleet f(60, 5, {0.05, 0.05, 1, 26});
     f.start_all();
     f.run_for(5000);
@@ -180,10 +182,10 @@
         return true;
     };
     EXPECT_TRUE(f.run_until(caught_up, 3000));
-    EXPECT_TRUE(f.run_until([&] { return f.agree() && all_know_who_runs(f); }, 20000, 250));
+    EXPECT_TRUE(f.run_until([&] { return f.agree() && all_hold_running_members_alive(f); }, 20000, 250));
 }
 
-TEST(Fleet, APausedMemberSuspectsNobodyAndCatchesUp) {
+TEST(Fleet, APausedMemberSuspectsNoMemberAndCatchesUp) {
     SimFleet f(30, 9, {0.02, 0, 1, 26});
     f.start_all();
     f.run_for(5000);
@@ -194,12 +196,13 @@
     f.publish(1, Versions{9, 1, 1, 1});
     f.run_for(1000);
     f.resume(4);
-    EXPECT_TRUE(f.run_until([&] { return f.at(4).member(1).versions() && all_know_who_runs(f); }, 8000));
+    EXPECT_TRUE(
+        f.run_until([&] { return f.at(4).member(1).versions() && all_hold_running_members_alive(f); }, 8000));
     EXPECT_EQ(f.at(4).counts().suspected, suspected);
     EXPECT_EQ(f.at(4).counts().process_pauses, 1u);
 }
 
-TEST(Fleet, APartitionHealsEitherWay) {
+TEST(Fleet, RecoversFromOneWayAndFullPartitions) {
     for (const bool inbound : {true, false}) {
         SimFleet f(30, 21, {0.05, 0, 1, 26});
         f.start_all();
@@ -209,12 +212,12 @@
         EXPECT_EQ(f.at(10).member(0).member_state().status, Status::dead);
         f.publish(0, Versions{3, 1, 1, 1});
         f.heal();
-        EXPECT_TRUE(f.run_until([&] { return f.agree() && all_know_who_runs(f); }, 30000, 250));
+        EXPECT_TRUE(f.run_until([&] { return f.agree() && all_hold_running_members_alive(f); }, 30000, 250));
         EXPECT_TRUE(f.at(20).member(0).versions());
     }
 }
 
-TEST(Fleet, LoadAtRestIsConstantPerMember) {
+TEST(Fleet, IdleTrafficPerMemberIsIndependentOfFleetSize) {
     double rate[2];
     for (int i = 0; i < 2; ++i) {
         SimFleet f(i == 0 ? 20 : 150, 2, {});
--- a/tests/replication/recorded_datagrams_test.cpp
+++ b/tests/replication/recorded_datagrams_test.cpp
@@ -1,6 +1,7 @@
-// Datagrams as recorded in tests/recorded/datagrams: one of each kind and of each item is read field by field
-// and written again, the short ones of the decision module come out of the same events, and a fleet of
-// replicas on a scripted clock sends, byte for byte, what it sent when its hash was recorded.
+// Compatibility with the datagrams recorded in tests/recorded/datagrams. A datagram of each kind and with
+// each item is decoded field by field and encoded to the same bytes. The same events cause the balancer to
+// send the same short gossip datagrams. A fleet of replicas on a scripted clock sends the same bytes as when
+// the hash was recorded.
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
@@ -23,10 +24,10 @@
 };
 std::ostream& operator<<(std::ostream& out, const Case& c) { return out << c.name; }
 
-constexpr std::uint32_t kLife = 0x6553f100, kIncarnation = 0x01020304;
+constexpr std::uint32_t kEpoch = 0x6553f100, kIncarnation = 0x01020304;
 
-Datagram a_datagram(Kind kind, std::uint16_t token, MemberId subject, std::vector<Item> items = {}) {
-    return {kind, kLife, kIncarnation, token, subject, std::move(items)};
+Datagram make_datagram(Kind kind, std::uint16_t token, MemberId subject, std::vector<Item> items = {}) {
+    return {kind, kEpoch, kIncarnation, token, subject, std::move(items)};
 }
 
 const MemberItem kAliveMember{0x0123, {0x6553f101, 5, Status::alive}, 0x0a0b0c0d};
@@ -35,35 +36,35 @@
 const EvidenceItem kEvidence{0x0102, 0x6553f104, 0xdeadbeef, 0x00010203, {200, 55, 64, 5}, 99};
 const VersionsItem kVersions{0x0304, 0x6553f105, 0x00040506, {11, 0xcafef00d, 3, 0x12345678}};
 const FingerprintItem kFingerprint{0x0506, 0x89abcdef};
-const StateRequestItem kWant{0x0708};
+const StateRequestItem kStateRequest{0x0708};
 const RangeItem kRange{15, 0x76543210};
 
 std::vector<Case> cases() {
-    Datagram digest = a_datagram(Kind::digest, 0, 0);
+    Datagram digest = make_datagram(Kind::digest, 0, 0);
     for (std::uint8_t i = 0; i < kDigestRanges; ++i) digest.items.emplace_back(RangeItem{i, 0x01010101u * i});
     return {
-        {"ping", a_datagram(Kind::ping, 0x1234, 0)},
-        {"probe", a_datagram(Kind::probe, 0x1235, 0x0a0b)},
-        {"ack", a_datagram(Kind::ack, 0x1236, 0x0a0c)},
-        {"gossip", a_datagram(Kind::gossip, 0, 0, {kSuspectMember, kEvidence, kVersions})},
+        {"ping", make_datagram(Kind::ping, 0x1234, 0)},
+        {"probe", make_datagram(Kind::probe, 0x1235, 0x0a0b)},
+        {"ack", make_datagram(Kind::ack, 0x1236, 0x0a0c)},
+        {"gossip", make_datagram(Kind::gossip, 0, 0, {kSuspectMember, kEvidence, kVersions})},
         {"digest", digest},
-        {"pull", a_datagram(Kind::pull, 0x0003, 0, {kRange, RangeItem{0, 1}})},
-        {"summary", a_datagram(Kind::summary, 0x8000, 0, {kFingerprint, kWant})},
-        {"shout", a_datagram(Kind::broadcast, 0, 0, {kEvidence, kAliveMember})},
-        {"item-member-alive", a_datagram(Kind::gossip, 0, 0, {kAliveMember})},
-        {"item-member-suspect", a_datagram(Kind::gossip, 0, 0, {kSuspectMember})},
-        {"item-member-dead", a_datagram(Kind::gossip, 0, 0, {kDeadMember})},
-        {"item-evidence", a_datagram(Kind::gossip, 0, 0, {kEvidence})},
-        {"item-versions", a_datagram(Kind::gossip, 0, 0, {kVersions})},
-        {"item-fingerprint", a_datagram(Kind::gossip, 0, 0, {kFingerprint})},
-        {"item-want", a_datagram(Kind::gossip, 0, 0, {kWant})},
-        {"item-range", a_datagram(Kind::gossip, 0, 0, {kRange})},
+        {"pull", make_datagram(Kind::pull, 0x0003, 0, {kRange, RangeItem{0, 1}})},
+        {"summary", make_datagram(Kind::summary, 0x8000, 0, {kFingerprint, kStateRequest})},
+        {"shout", make_datagram(Kind::broadcast, 0, 0, {kEvidence, kAliveMember})},
+        {"item-member-alive", make_datagram(Kind::gossip, 0, 0, {kAliveMember})},
+        {"item-member-suspect", make_datagram(Kind::gossip, 0, 0, {kSuspectMember})},
+        {"item-member-dead", make_datagram(Kind::gossip, 0, 0, {kDeadMember})},
+        {"item-evidence", make_datagram(Kind::gossip, 0, 0, {kEvidence})},
+        {"item-versions", make_datagram(Kind::gossip, 0, 0, {kVersions})},
+        {"item-fingerprint", make_datagram(Kind::gossip, 0, 0, {kFingerprint})},
+        {"item-want", make_datagram(Kind::gossip, 0, 0, {kStateRequest})},
+        {"item-range", make_datagram(Kind::gossip, 0, 0, {kRange})},
     };
 }
 
 class RecordedDatagrams : public testing::TestWithParam<Case> {};
 
-TEST_P(RecordedDatagrams, AreReadFieldByFieldAndWrittenTheSame) {
+TEST_P(RecordedDatagrams, AreDecodedFieldByFieldAndEncodedToTheSameBytes) {
     const Case& c = GetParam();
     const Bytes written = encode(c.datagram);
     recorded::expect_same(file_of(c.name), recorded::hex_of(written).append("\n"));
@@ -86,18 +87,19 @@
     return name;
 });
 
-// ---- The short ones of the decision module ---------------------------------------------------------------
+// ---- Short gossip datagrams of the balancer --------------------------------------------------------------
 
-// A light sidecar of a fleet of 160, whose requests end so; a line for each datagram it sends.
-std::string lines_of_short_datagrams(Outcome outcome) {
+// The gossip datagrams, one a line, of a sidecar with low traffic in a fleet of 160 whose requests all end
+// with `outcome`.
+std::string gossip_lines(Outcome outcome) {
     Settings settings = test::make_settings({test::make_class(Idempotency::not_idempotent)});
     settings.gossip_allowed = true;
     settings.sidecar_count = 160;
     settings.sidecar_index = 7;
     test::Rig rig(settings);
-    auto servers = test::make_servers(20);
-    for (Endpoint& server : servers) server.id = 0x01020300 + server.id;
-    rig.list(EndpointUpdateKind::full, servers);
+    auto endpoints = test::make_servers(20);
+    for (Endpoint& endpoint : endpoints) endpoint.id = 0x01020300 + endpoint.id;
+    rig.list(EndpointUpdateKind::full, endpoints);
     std::string lines;
     for (int i = 0; i < 12; ++i) {
         rig.pass(700);
@@ -105,29 +107,29 @@
         if (!rig.out(id)) continue;
         rig.end(id, outcome, 100);
         for (const Action& action : rig.last)
-            if (const auto* tell = std::get_if<SendGossip>(&action)) {
-                lines += tell->to ? std::to_string(*tell->to) : "all";
+            if (const auto* gossip = std::get_if<SendGossip>(&action)) {
+                lines += gossip->to ? std::to_string(*gossip->to) : "all";
                 lines += ' ';
-                lines += recorded::hex_of(tell->bytes);
+                lines += recorded::hex_of(gossip->bytes);
                 lines += '\n';
             }
     }
     return lines;
 }
 
-TEST(RecordedShortDatagrams, TellTheSamePeersOfFailuresInFourBytes) {
-    const std::string lines = lines_of_short_datagrams(Outcome::connection_reset);
-    EXPECT_NE(lines.find(" 010203"), std::string::npos) << "the server's number";
+TEST(RecordedShortDatagrams, ReportFailuresToTheSamePeersInFourBytes) {
+    const std::string lines = gossip_lines(Outcome::connection_reset);
+    EXPECT_NE(lines.find(" 010203"), std::string::npos) << "the endpoint's id";
     recorded::expect_same("datagrams/failures-told.txt", lines);
 }
 
-TEST(RecordedShortDatagrams, TellTheSamePeersOfTheAnswersTimeInOneByte) {
-    const std::string lines = lines_of_short_datagrams(Outcome::success);
+TEST(RecordedShortDatagrams, ReportLoadToTheSamePeersInOneByte) {
+    const std::string lines = gossip_lines(Outcome::success);
     EXPECT_NE(lines, "");
     recorded::expect_same("datagrams/answer-times-told.txt", lines);
 }
 
-TEST(RecordedShortDatagrams, AreToldFromThoseOfTheSharedStateByTheirLength) {
+TEST(RecordedShortDatagrams, DifferFromReplicationDatagramsByLength) {
     for (const auto& [name, size] : {std::pair{"failures-told", 4u}, {"answer-times-told", 1u}}) {
         std::istringstream lines(recorded::read(std::string("datagrams/").append(name).append(".txt")));
         std::size_t datagrams = 0;
@@ -143,13 +145,13 @@
 
 // ---- A fleet on a scripted clock -------------------------------------------------------------------------
 
-// Replicas whose datagrams each take 7 ms, in the order in which they were sent. One may be silent: it does
-// nothing and nothing reaches it.
+// Replicas on a scripted clock. Each datagram arrives after kDelay, in the order of sending. The member
+// `silent` runs no timers, and datagrams to and from that member are lost.
 class ScriptedFleet {
 public:
     explicit ScriptedFleet(std::size_t members) {
         for (std::size_t i = 0; i < members; ++i)
-            replicas_.emplace_back(static_cast<MemberId>(i), members, kLife + static_cast<std::uint32_t>(i),
+            replicas_.emplace_back(static_cast<MemberId>(i), members, kEpoch + static_cast<std::uint32_t>(i),
                                    /*seed=*/1000 + i);
     }
     template <class Act>
@@ -183,38 +185,39 @@
     };
     void post(MemberId from, Outgoing datagram) {
         ++datagrams_, bytes_ += datagram.bytes.size();
-        fold(static_cast<std::uint32_t>(elapsed_)), fold(from), fold(datagram.to);
-        fold(static_cast<std::uint32_t>(datagram.bytes.size()));
+        append_number(static_cast<std::uint32_t>(elapsed_)), append_number(from), append_number(datagram.to);
+        append_number(static_cast<std::uint32_t>(datagram.bytes.size()));
         sent_.insert(sent_.end(), datagram.bytes.begin(), datagram.bytes.end());
         for (std::size_t to = 0; to < replicas_.size(); ++to)
             if (to != from && (datagram.to == kAll || datagram.to == to))
-                flying_.emplace(elapsed_ + kDelay, InFlight{from, static_cast<MemberId>(to), datagram.bytes});
+                in_flight_.emplace(elapsed_ + kDelay,
+                                   InFlight{from, static_cast<MemberId>(to), datagram.bytes});
     }
-    void fold(std::uint32_t number) {
+    void append_number(std::uint32_t number) {
         for (int shift = 24; shift >= 0; shift -= 8)
             sent_.push_back(static_cast<std::uint8_t>(number >> shift));
     }
     void deliver() {
-        while (!flying_.empty() && flying_.begin()->first <= elapsed_) {
-            const InFlight datagram = std::move(flying_.begin()->second);
-            flying_.erase(flying_.begin());
+        while (!in_flight_.empty() && in_flight_.begin()->first <= elapsed_) {
+            const InFlight datagram = std::move(in_flight_.begin()->second);
+            in_flight_.erase(in_flight_.begin());
             if (datagram.to == silent || datagram.from == silent) continue;
             act(datagram.to, [&](Replica& r, Millis now, auto& out) {
                 r.receive(now, datagram.from, datagram.bytes, out);
             });
         }
     }
-    static constexpr int kDelay = 7;
+    static constexpr int kDelay = 7;  // milliseconds
     std::deque<Replica> replicas_;
-    std::multimap<int, InFlight> flying_;
+    std::multimap<int, InFlight> in_flight_;
     int elapsed_ = 0;
-    Millis now_ = kLife * 1000.0;
+    Millis now_ = kEpoch * 1000.0;
     std::uint64_t datagrams_ = 0, bytes_ = 0;
-    Bytes sent_;  // each datagram behind its time, its sender, its receiver and its size
+    Bytes sent_;  // for each datagram: time, sender, receiver, size, bytes
 };
 
-// What each holds of the others, so that a changed hash can be told from a changed outcome.
-std::string line_of(const Replica& replica) {
+// A summary of the replica's state. It shows whether a changed hash comes with a changed state.
+std::string state_line(const Replica& replica) {
     char text[160];
     std::snprintf(text, sizeof text,
                   "member %u alive %zu records %zu fingerprint %08x versions %zu caught up %d\n",
@@ -224,30 +227,30 @@
 }
 
 TEST(RecordedReplication, SendsTheSameDatagramsAtTheSameTimes) {
-    constexpr MemberId kMembers = 5, kSilentOne = 3;
+    constexpr MemberId kMembers = 5, kSilentMember = 3;
     ScriptedFleet fleet(kMembers);
     const auto start = [](Replica& r, Millis now, auto& out) { r.start(now, out); };
-    const auto say = [](auto... what) {
-        return [=](Replica& r, Millis now, auto&) { r.publish(now, what...); };
+    const auto publish = [](auto... values) {
+        return [=](Replica& r, Millis now, auto&) { r.publish(now, values...); };
     };
     std::string text;
-    const auto mark = [&](const char* stage) {
+    const auto append_stage = [&](const char* stage) {
         text.append(stage).append(" ").append(fleet.summary());
-        for (MemberId i = 0; i < kMembers; ++i) text += line_of(fleet.at(i));
+        for (MemberId i = 0; i < kMembers; ++i) text += state_line(fleet.at(i));
     };
     for (MemberId i = 0; i < kMembers; ++i) fleet.act(i, start), fleet.run_for(20);
-    fleet.run_for(1500), mark("started");
-    fleet.act(0, say(EndpointKey{9}, Evidence{20, 3, 70, kEjected}));
-    fleet.act(1, say(EndpointKey{9}, Evidence{30, 0, 60, 0}));
-    fleet.act(2, say(EndpointKey{0xabcdef01}, Evidence{0, 5, 0, kWithdrawn})), fleet.run_for(1500);
-    mark("evidence");
-    fleet.act(4, say(Versions{2, 0x1234, 1, 17})), fleet.run_for(1000), mark("versions");
-    fleet.silent = kSilentOne, fleet.run_for(9000), mark("silent");
-    EXPECT_EQ(fleet.at(0).member(kSilentOne).member_state().status, Status::dead);
-    fleet.silent = kAll, fleet.run_for(5000), mark("heard-again");
-    EXPECT_EQ(fleet.at(0).member(kSilentOne).member_state().status, Status::alive);
+    fleet.run_for(1500), append_stage("started");
+    fleet.act(0, publish(EndpointKey{9}, Evidence{20, 3, 70, kEjected}));
+    fleet.act(1, publish(EndpointKey{9}, Evidence{30, 0, 60, 0}));
+    fleet.act(2, publish(EndpointKey{0xabcdef01}, Evidence{0, 5, 0, kWithdrawn})), fleet.run_for(1500);
+    append_stage("evidence");
+    fleet.act(4, publish(Versions{2, 0x1234, 1, 17})), fleet.run_for(1000), append_stage("versions");
+    fleet.silent = kSilentMember, fleet.run_for(9000), append_stage("silent");
+    EXPECT_EQ(fleet.at(0).member(kSilentMember).member_state().status, Status::dead);
+    fleet.silent = kAll, fleet.run_for(5000), append_stage("heard-again");
+    EXPECT_EQ(fleet.at(0).member(kSilentMember).member_state().status, Status::alive);
     fleet.act(1, [](Replica& r, Millis now, auto& out) { r.leave(now, out); });
-    fleet.run_for(2000), mark("one-left");
+    fleet.run_for(2000), append_stage("one-left");
     recorded::expect_same("datagrams/replication.txt", text);
 }
 
--- a/tests/replication/records_test.cpp
+++ b/tests/replication/records_test.cpp
@@ -1,4 +1,5 @@
-// The merge of replicated records, as properties: a join-semilattice, also under repeats and expiry.
+// Properties of the merge of replicated records: the state is a join-semilattice, also with repeated and
+// expired records.
 #include "replication/records.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +9,7 @@
 #include <algorithm>
 
 namespace ochregrade::replication {
-// Equality of everything, not only of what the fingerprint covers.
+// Equality of all fields, including those that the fingerprint does not cover.
 template <class Value>
 bool operator==(const Record<Value>& a, const Record<Value>& b) {
     return a.sequence == b.sequence && a.value == b.value && a.expires == b.expires && a.direct == b.direct;
@@ -23,35 +24,35 @@
 
 using namespace ochregrade::replication;
 
-// One write that may reach a replica: few epochs, keys and sequences, so that they meet often, and the same
-// sequence may have two values, as with a forger.
+// One write that may reach a replica. Epochs, keys and sequences have few values, so that writes often
+// collide. Two writes may have the same sequence and different values, as if one of them was forged.
 struct Write {
     std::uint32_t epoch, sequence;
     int subject;  // 0: member state, 1: versions, 2: evidence
-    EndpointKey server;
+    EndpointKey endpoint;
     Evidence evidence;
-    MemberState standing;
+    MemberState member_state;
     Versions versions;
     Millis expires;
     bool direct;
     bool apply(OriginState& to) const {
-        if (subject == 0) return to.join(standing);
+        if (subject == 0) return to.join(member_state);
         if (subject == 1) return to.join(epoch, Record<Versions>{sequence, versions, 0, direct});
-        return to.join(epoch, server, Record<Evidence>{sequence, evidence, expires, direct});
+        return to.join(epoch, endpoint, Record<Evidence>{sequence, evidence, expires, direct});
     }
 };
 
 rc::Gen<Write> write(std::uint32_t keys) {
     return rc::gen::apply(
-        [=](std::uint32_t epoch, std::uint32_t sequence, int subject, std::uint32_t key, std::uint8_t bad,
-            int status, int left, bool direct) {
+        [=](std::uint32_t epoch, std::uint32_t sequence, int subject, std::uint32_t key,
+            std::uint8_t failures, int status, int left, bool direct) {
             Write result{epoch,
                          sequence,
                          subject,
                          key,
-                         {1, bad, 0, 0},
+                         {1, failures, 0, 0},
                          {epoch, sequence % 3, static_cast<Status>(status)},
-                         {bad, key, 0, sequence},
+                         {failures, key, 0, sequence},
                          100.0 + left,
                          direct};
             return result;
@@ -69,7 +70,7 @@
 }
 
 RC_GTEST_PROP(RecordMerge, IsCommutativeAssociativeAndIdempotent, ()) {
-    const auto keys = *rc::gen::element<std::uint32_t>(4, 60);  // within and beyond the bound on records
+    const auto keys = *rc::gen::element<std::uint32_t>(4, 60);  // within and beyond kMaxRecordsPerOrigin
     const auto some = rc::gen::container<std::vector<Write>>(write(keys));
     const OriginState a = state_of(*some), b = state_of(*some), c = state_of(*some);
     const auto joined = [](OriginState x, const OriginState& y) { return x.join(y), x; };
@@ -89,13 +90,13 @@
     for (std::size_t i = writes.size(); i > 1; --i)
         std::swap(writes[i - 1], writes[*rc::gen::inRange<std::size_t>(0, i)]);
     RC_ASSERT(state_of(writes) == once);
-    // Expired records do not come back by being replayed.
+    // Replayed records that have expired stay expired.
     OriginState late = once;
     late.expire(1e9);
     RC_ASSERT(late.evidence().empty());
     for (const Write& w : writes)
         if (w.subject == 2) w.apply(late);
-    for (const auto& [server, record] : late.evidence()) RC_ASSERT(record.sequence > once.floor());
+    for (const auto& [endpoint, record] : late.evidence()) RC_ASSERT(record.sequence > once.floor());
     RC_ASSERT(late.highest_sequence() == once.highest_sequence());
 }
 
--- a/tests/replication/replica_test.cpp
+++ b/tests/replication/replica_test.cpp
@@ -1,4 +1,4 @@
-// One replica against members that send damaged, forged or too many datagrams.
+// One replica that receives damaged, forged or too many datagrams from other members.
 #include "replication/replica.hpp"
 
 #include <gtest/gtest.h>
@@ -27,7 +27,7 @@
         for (const Millis end = now + duration; now < end;) {
             now = std::min(end, std::max(now + 1, replica.due()));
             replica.advance(now, out);
-            // All other members answer its pings.
+            // All other members reply to the replica's pings.
             for (std::size_t i = answered; i < out.size(); ++i) {
                 const Datagram d = std::get<Datagram>(decode(out[i].bytes));
                 if (d.kind == Kind::ping)
@@ -81,7 +81,7 @@
     EXPECT_EQ(single.replica.counts().implausible_epochs, 2u);
 }
 
-// A forger may write in everybody's name, but its address identifies only itself.
+// A forger may send records of all origins, but only those with the forger itself as origin count as direct.
 TEST(UntrustedPeers, AForgerCountsAsOneDirectReporter) {
     SingleReplica single;
     std::vector<Item> forged;
@@ -92,15 +92,16 @@
     EXPECT_EQ(single.totals_of(5)->reporters, 9u);
     EXPECT_EQ(single.totals_of(5)->direct_reporters, 1u);
     EXPECT_EQ(single.totals_of(5)->failures, 5u);
-    // The named origins are asked, and count once they confirm it themselves.
-    std::set<MemberId> asked;
+    // The replica requests the records from the named origins. A record from its origin counts as direct.
+    std::set<MemberId> requested;
     for (const Outgoing& o : single.out) {
         const Datagram d = std::get<Datagram>(decode(o.bytes));
         for (const Item& i : d.items)
-            if (const auto* w = std::get_if<StateRequestItem>(&i); w && w->member == o.to) asked.insert(o.to);
+            if (const auto* w = std::get_if<StateRequestItem>(&i); w && w->member == o.to)
+                requested.insert(o.to);
     }
-    EXPECT_GE(asked.size(), 2u);
-    for (const MemberId origin : asked) single.receive(origin, {failure_report(origin, 5)});
+    EXPECT_GE(requested.size(), 2u);
+    for (const MemberId origin : requested) single.receive(origin, {failure_report(origin, 5)});
     single.run_for(100);
     EXPECT_GE(single.totals_of(5)->direct_reporters, 3u);
 }
@@ -110,7 +111,7 @@
     single.receive(2, {failure_report(2, 5)});
     single.run_for(100);
     ASSERT_TRUE(single.totals_of(5));
-    single.receive(2, {failure_report(2, 5)});  // replayed later: that does not extend its lifetime
+    single.receive(2, {failure_report(2, 5)});  // a replay does not extend the lifetime
     single.run_for(kEvidenceLifetime);
     EXPECT_FALSE(single.totals_of(5));
     single.receive(2, {failure_report(2, 5)});
@@ -121,7 +122,7 @@
     EXPECT_TRUE(single.totals_of(5));
 }
 
-TEST(UntrustedPeers, MemoryIsBoundedWhateverTheySend) {
+TEST(UntrustedPeers, MemoryIsBoundedForAnyInput) {
     SingleReplica single;
     for (std::uint32_t n = 0; n < 20000; ++n)
         single.receive(static_cast<MemberId>(1 + n % 9),
@@ -129,30 +130,30 @@
     EXPECT_LE(single.replica.records(), 9 * kMaxRecordsPerOrigin);
 }
 
-TEST(UntrustedPeers, FalseStatementsAboutAMemberAreRefuted) {
+TEST(UntrustedPeers, FalseStatesAndRecordsAreRefuted) {
     SingleReplica single;
     single.replica.publish(single.now, 8, {3, 1, 0, 0});
     single.receive(1, {MemberItem{0, {kEpoch, 0, Status::dead}, 0}});
     EXPECT_EQ(single.replica.member(0).member_state().incarnation, 1u);
     EXPECT_EQ(single.replica.member(0).member_state().status, Status::alive);
     single.run_for(2000);
-    single.receive(1, {failure_report(0, 5, 40)});  // a sequence it never wrote
+    single.receive(1, {failure_report(0, 5, 40)});  // a sequence that member 0 never wrote
     EXPECT_EQ(single.replica.member(0).member_state().epoch, kEpoch + 1);
     EXPECT_EQ(single.replica.member(0).evidence().count(5), 0u);
     EXPECT_EQ(single.replica.member(0).evidence().at(8).value.successes, 3);
-    // A forger does not set the rate of new epochs.
+    // The rate of new epochs is limited, however many forged epochs arrive.
     for (int i = 0; i < 50; ++i) single.receive(1, {MemberItem{0, {kEpoch + 5, 0, Status::dead}, 0}});
     EXPECT_LE(single.replica.member(0).member_state().epoch, kEpoch + 6);
 }
 
-TEST(UntrustedPeers, AnswersAreRateLimited) {
+TEST(UntrustedPeers, RepliesAreRateLimited) {
     SingleReplica single;
     for (MemberId m = 1; m < 10; ++m)
         for (std::uint32_t k = 0; k < kMaxRecordsPerOrigin; ++k)
             single.receive(m, {failure_report(m, k, k + 1)});
     single.out.clear(), single.answered = 0;
     for (int i = 0; i < 500; ++i) single.receive(3, {}, Kind::pull);
-    EXPECT_LT(single.out.size(), 700u);  // an empty digest differs in no range, so little is sent
+    EXPECT_LT(single.out.size(), 700u);  // an empty digest differs in no range, so the replies are small
     Datagram pull;
     pull.kind = Kind::pull, pull.epoch = kEpoch;
     for (std::uint8_t r = 0; r < kDigestRanges; ++r) pull.add(RangeItem{r, 1});
--- a/tests/replication/version_agreement_test.cpp
+++ b/tests/replication/version_agreement_test.cpp
@@ -1,5 +1,6 @@
-// Agreement on versions: when a newer one is requested, and a history check over seeded schedules on a
-// simulated network, which must notice when the requests are missing.
+// Version agreement: when a follower requests a newer version, and, over seeded random histories on a
+// simulated network, how long members act on contradicting versions. Without the requests the same check must
+// fail.
 #include "replication/version_agreement.hpp"
 
 #include <gtest/gtest.h>
@@ -27,7 +28,7 @@
     EXPECT_GE(*follower.due(), 1000 + kListPacing.grace);
     EXPECT_LE(*follower.due(), 1000 + kListPacing.grace + kListPacing.spread);
     follower.observe(1100, {1, 42}, claims({{1, 42}}));
-    EXPECT_FALSE(follower.due()) << "it arrived the ordinary way";
+    EXPECT_FALSE(follower.due()) << "the version arrived without a request";
     EXPECT_EQ(follower.calls(), 0u);
 }
 
@@ -43,7 +44,7 @@
         EXPECT_GT(at[i] - at[i - 30], 5) << "no 30 of 300 within 5 ms";
 }
 
-TEST(VersionFollower, AForgedClaimIsGivenUpAndHidesNoTrueOne) {
+TEST(VersionFollower, AForgedClaimIsIgnoredAndHidesNoTrueClaim) {
     VersionFollower follower(kSettingsPacing, 3);
     double now = 0;
     int calls = 0;
@@ -62,13 +63,14 @@
     EXPECT_LE(*follower.due(), now + kSettingsPacing.grace + kSettingsPacing.spread);
 }
 
-// Each member has a source (discovery, or the settings file) that always has the newest version. Most members
-// are notified of a change; the others have only the replicated versions and their follower.
+// A fleet whose members each have a source (discovery, or the settings file) with the newest version. The
+// source notifies most members of a change; the others depend on the replicated versions and their follower.
 class VersionHistory {
 public:
-    VersionHistory(std::uint64_t seed, bool follows)
+    // `sends_requests`: whether a member requests the newest version when its follower is due.
+    VersionHistory(std::uint64_t seed, bool sends_requests)
         : random_(seed),
-          follows_(follows),
+          sends_requests_(sends_requests),
           members_(6 + below(15)),
           fleet_(members_, seed, draw_network()),
           own_(members_, VersionId{1, 41}),
@@ -83,7 +85,7 @@
         fleet_.run_for(3000);
     }
 
-    // The longest time (ms) that two members reached by datagrams acted on contradicting versions.
+    // The longest time (ms) for which a connected member acted on an older version than another member.
     double longest_contradiction() {
         const double end = fleet_.now() + 12000;
         double next_change = fleet_.now() + 500;
@@ -113,7 +115,7 @@
     }
 
     void change_version() {
-        // Discovery may count anew: the sequence number falls, and the incarnation is one more.
+        // Discovery may restart its sequence: the sequence number falls and the incarnation rises by one.
         newest_ =
             below(4) == 0 ? VersionId{newest_.major + 1, 1} : VersionId{newest_.major, newest_.minor + 1};
         const std::size_t not_notified = 1 + below(members_ / 2);
@@ -138,7 +140,7 @@
             others.push_back(list_version(record.value));
         follower.observe(fleet_.now(), own_[i], others);
         bool fetches = fleet_.now() >= notified_at_[i];
-        if (follows_ && follower.due() && fleet_.now() >= *follower.due()) {
+        if (sends_requests_ && follower.due() && fleet_.now() >= *follower.due()) {
             follower.requested(fleet_.now());
             fetches = true;
         }
@@ -157,7 +159,7 @@
     }
 
     std::mt19937_64 random_;
-    bool follows_;
+    bool sends_requests_;
     std::size_t members_;
     SimFleet fleet_;
     std::vector<VersionFollower> followers_;
@@ -170,7 +172,8 @@
 };
 
 TEST(VersionAgreement, NoTwoMembersActOnContradictingListsForLong) {
-    // With up to 30 % lost and one cut off for a second; it is held to it from its return on.
+    // Up to 30 % of the datagrams are lost, and at times one member is cut off for a second. The bound
+    // applies to that member from its reconnection on.
     for (std::uint64_t seed = 1; seed <= 1000; ++seed) {
         const double longest = VersionHistory(seed, true).longest_contradiction();
         ASSERT_LE(longest, 2000) << "seed " << seed;
