--- a/src/fleet/gossip_transport.cpp
+++ b/src/fleet/gossip_transport.cpp
@@ -24,7 +24,7 @@
 
 void GossipTransport::send(std::optional<std::uint32_t> to, const std::vector<std::uint8_t>& bytes) {
     if (bytes.size() > kMaxDatagramBytes) {
-        log_line("gossip message not sent: it is longer than a datagram may be");
+        log_line("gossip datagram not sent: longer than the maximum datagram size");
         return;
     }
     if (to ? *to >= peers_.size() : !broadcast_) return;
--- a/src/replication/member_table.cpp
+++ b/src/replication/member_table.cpp
@@ -26,8 +26,10 @@
 
 MemberTable::MemberTable(MemberId self, std::size_t members, std::uint32_t epoch)
     : self_(self), states_(members) {
-    if (members == 0 || members > kMaxMembers) throw std::invalid_argument("fleet: too many members or none");
-    if (self >= members) throw std::invalid_argument("fleet: a number beyond the members");
+    if (members == 0 || members > kMaxMembers)
+        throw std::invalid_argument("fleet: the number of members is 0 or over the limit");
+    if (self >= members)
+        throw std::invalid_argument("fleet: the member id is not below the number of members");
     own().join(MemberState{std::max<std::uint32_t>(epoch, 1), 0, Status::alive});
 }
 
