--- a/src/replication/codec.hpp
+++ b/src/replication/codec.hpp
@@ -33,7 +33,7 @@
     ping = 1,      // the reply is an ack with the same token
     probe = 2,     // SWIM's ping-req: the receiver pings the subject and forwards the ack
     ack = 3,       // reply of the subject to the ping with this token
-    gossip = 4,    // items only
+    gossip = 4,    // items only; token not 0: a reply; subject not 0: the last datagram of a reply to a pull
     digest = 5,    // a hash per range; the reply is a summary of the ranges that differ
     pull = 6,      // a digest from a member that is catching up; the reply is all state that differs
     summary = 7,   // fingerprints of the members in ranges that differ
@@ -112,7 +112,7 @@
 constexpr int kDecodeErrors = 6;
 const char* to_string(DecodeError error);
 
-/// Reads no byte beyond those given. A decoded datagram encodes to the same bytes again.
+/// Reads only the given bytes. A decoded datagram encodes to the same bytes again.
 std::variant<Datagram, DecodeError> decode(std::span<const std::uint8_t> bytes);
 
 /// Whether the first byte and the length are those of a replication datagram.
--- a/src/replication/datagram_sender.cpp
+++ b/src/replication/datagram_sender.cpp
@@ -12,7 +12,7 @@
 
 void DatagramSender::send(MemberId to, Datagram datagram, std::vector<Outgoing>& out, Updates updates) {
     if (to == members_.self() || !members_.contains(to)) return;
-    // The first item is the suspect or dead state of the receiver, which only the receiver can refute.
+    // A suspect or dead receiver gets that state as the first item, since only the receiver can refute it.
     const OriginState& receiver = members_.at(to);
     if (receiver.member_state().status != Status::alive)
         datagram.add(MemberItem{to, receiver.member_state(), receiver.highest_sequence()});
--- a/src/replication/failure_detector.cpp
+++ b/src/replication/failure_detector.cpp
@@ -15,8 +15,8 @@
 constexpr double kMaxLoss = 0.99;
 constexpr double kMinSuspicionProbes = 2.0;
 constexpr double kDirectPingers = 24;  // members of the fleet, on average, that ping a suspect directly
-// Probability per probe of a ping to a dead or unknown member too, since that member may have restarted or a
-// partition may have healed.
+// Probability that a ping to a dead or unknown member accompanies a probe: that member may have restarted, or
+// a partition may have healed.
 constexpr double kUnreachablePingProbability = 0.5;
 
 }  // namespace
@@ -176,8 +176,8 @@
     }
     const Millis time = suspicion_timeout();
     suspicions_[id] = now + time;
-    // A few of the members that suspect it ping it directly: the ping contains the suspicion and the ack
-    // contains the refutation.
+    // A few of the members that suspect member `id` ping that member directly: the ping contains the
+    // suspicion, and the ack contains the refutation.
     if (parts_.random.unit() * static_cast<double>(parts_.members.size()) < kDirectPingers)
         direct_pings_[id] = now + time * parts_.random.unit();
 }
--- a/src/replication/pending_updates.cpp
+++ b/src/replication/pending_updates.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::size_t kMaxUpdates = 4096;
-constexpr std::size_t kMaxItemsPerDatagram = kMaxDatagramBytes / 15;  // an upper bound on what may fit
+constexpr std::size_t kMaxItemsPerDatagram = kMaxDatagramBytes / 15;  // upper bound on the items that fit
 // Evidence and the state of a newly started member are sent only this share of the usual number of times:
 // several members report the same, and anti-entropy transfers what is missing.
 constexpr double kReducedShare = 0.4;
--- a/src/replication/replica.hpp
+++ b/src/replication/replica.hpp
@@ -1,10 +1,10 @@
 // One sidecar's copy of the fleet's replicated state: coordinates membership (failure_detector),
-// dissemination (pending_updates, broadcaster), anti-entropy and catch-up, merges what other members send,
-// and offers the result to the caller (docs/REPLICATION.md).
+// dissemination (pending_updates, broadcaster), anti-entropy and catch-up, merges the records of other
+// members, and provides the merged state to the caller (docs/REPLICATION.md).
 //
-// No sockets and no clock: the caller passes in times (Unix milliseconds that never go back) and received
-// datagrams, sends those that come out, and calls advance() when due() says so. The same construction and
-// calls give the same datagrams.
+// A replica has no sockets and no clock: the caller passes in times (Unix milliseconds that never go back)
+// and received datagrams, sends the outgoing datagrams, and calls advance() at due(). The same construction
+// and calls give the same datagrams.
 #pragma once
 
 #include <span>
--- a/src/replication/replica_options.hpp
+++ b/src/replication/replica_options.hpp
@@ -37,7 +37,7 @@
     Millis sync_period = 2000;           // between digests
     double transmit_multiplier = 3;      // times log10(members + 1): how often an update is sent
     double suspicion_multiplier = 1.0;   // times log2(members + 1): probe intervals until a suspicion expires
-    bool repair = true;  // anti-entropy and catch-up; off only in tests that need them missing
+    bool repair = true;  // anti-entropy and catch-up; off only in tests of a fleet without them
 };
 
 /// Counters since the construction.
