--- a/tests/replication/recorded_datagrams_test.cpp
+++ b/tests/replication/recorded_datagrams_test.cpp
@@ -97,9 +97,9 @@
     settings.sidecar_count = 160;
     settings.sidecar_index = 7;
     test::Rig rig(settings);
-    auto endpoints = test::make_servers(20);
-    for (Endpoint& endpoint : endpoints) endpoint.id = 0x01020300 + endpoint.id;
-    rig.list(EndpointUpdateKind::full, endpoints);
+    auto servers = test::make_servers(20);
+    for (Endpoint& server : servers) server.id = 0x01020300 + server.id;
+    rig.list(EndpointUpdateKind::full, servers);
     std::string lines;
     for (int i = 0; i < 12; ++i) {
         rig.pass(700);
@@ -230,8 +230,8 @@
     constexpr MemberId kMembers = 5, kSilentMember = 3;
     ScriptedFleet fleet(kMembers);
     const auto start = [](Replica& r, Millis now, auto& out) { r.start(now, out); };
-    const auto publish = [](auto... values) {
-        return [=](Replica& r, Millis now, auto&) { r.publish(now, values...); };
+    const auto publish = [](auto... what) {
+        return [=](Replica& r, Millis now, auto&) { r.publish(now, what...); };
     };
     std::string text;
     const auto append_stage = [&](const char* stage) {
--- a/tests/replication/records_test.cpp
+++ b/tests/replication/records_test.cpp
@@ -29,7 +29,7 @@
 struct Write {
     std::uint32_t epoch, sequence;
     int subject;  // 0: member state, 1: versions, 2: evidence
-    EndpointKey endpoint;
+    EndpointKey server;
     Evidence evidence;
     MemberState member_state;
     Versions versions;
@@ -38,7 +38,7 @@
     bool apply(OriginState& to) const {
         if (subject == 0) return to.join(member_state);
         if (subject == 1) return to.join(epoch, Record<Versions>{sequence, versions, 0, direct});
-        return to.join(epoch, endpoint, Record<Evidence>{sequence, evidence, expires, direct});
+        return to.join(epoch, server, Record<Evidence>{sequence, evidence, expires, direct});
     }
 };
 
@@ -96,7 +96,7 @@
     RC_ASSERT(late.evidence().empty());
     for (const Write& w : writes)
         if (w.subject == 2) w.apply(late);
-    for (const auto& [endpoint, record] : late.evidence()) RC_ASSERT(record.sequence > once.floor());
+    for (const auto& [server, record] : late.evidence()) RC_ASSERT(record.sequence > once.floor());
     RC_ASSERT(late.highest_sequence() == once.highest_sequence());
 }
 
