--- a/src/replication/catch_up.cpp
+++ b/src/replication/catch_up.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr std::size_t kPulledMembers = 3;  // at a time
-constexpr std::size_t kAnswersNeeded = 2;  // from different members
-constexpr Millis kRetryInterval = 250;     // up to half as much again, drawn
+constexpr std::size_t kPulledMembers = 3;  // per pull
+constexpr std::size_t kRepliesNeeded = 2;  // from different members
+constexpr Millis kRetryInterval = 250;     // milliseconds between pulls, plus a random 0 to 50 %
 constexpr int kMaxPulls = 12;
 
 }  // namespace
@@ -25,7 +25,7 @@
     if (!options_.repair) return;
     pulls_ = 0;
     finished_ = members_.size() == 1;
-    answered_.clear();
+    replied_.clear();
     pull(now, out);
 }
 
@@ -41,9 +41,9 @@
 
 void CatchUp::answered(MemberId from) {
     if (next_pull_ == kNever) return;
-    if (std::find(answered_.begin(), answered_.end(), from) != answered_.end()) return;
-    answered_.push_back(from);
-    if (answered_.size() < std::min(kAnswersNeeded, members_.size() - 1)) return;
+    if (std::find(replied_.begin(), replied_.end(), from) != replied_.end()) return;
+    replied_.push_back(from);
+    if (replied_.size() < std::min(kRepliesNeeded, members_.size() - 1)) return;
     finished_ = true;
     next_pull_ = kNever;
 }
@@ -59,7 +59,7 @@
     for (const MemberId to : pulled) {
         Datagram datagram = sender_.make(Kind::pull);
         datagram.token = sender_.next_token();
-        if (datagram.token == 0) datagram.token = sender_.next_token();  // 0 is no answer's token
+        if (datagram.token == 0) datagram.token = sender_.next_token();  // token 0: not a reply
         anti_entropy_.add_digest(datagram);
         sender_.send(to, std::move(datagram), out, DatagramSender::Updates::none);
     }
--- a/src/replication/evidence_view.cpp
+++ b/src/replication/evidence_view.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-constexpr Millis kRebuildPeriod = 50;
-constexpr std::size_t kMaxConfirmations = 8;  // requests at a time
-constexpr Millis kConfirmPeriod = 500;        // between requests to the same origin
-constexpr double kLatencyRatioUnit = 64.0;    // of Evidence::latency_ratio
+constexpr Millis kRebuildPeriod = 50;         // least time between rebuilds (ms)
+constexpr std::size_t kMaxConfirmations = 8;  // requests per rebuild
+constexpr Millis kConfirmPeriod = 500;        // milliseconds between requests to the same origin
+constexpr double kLatencyRatioUnit = 64.0;    // Evidence::latency_ratio counts in 1/64
 
 bool reports_failure(const Evidence& evidence) {
     return evidence.failures != 0 || (evidence.flags & kEjected);
@@ -21,20 +21,20 @@
 struct EvidenceView::Sum {
     EndpointTotals totals;
     std::uint32_t latency_ratios = 0;
-    std::vector<MemberId> indirect;  // origins whose report of a failure was passed on by another member
+    std::vector<MemberId> indirect;  // origins whose failure report was forwarded by another member
 
     void add(MemberId origin, const Record<Evidence>& record) {
         const Evidence& evidence = record.value;
         totals.successes += evidence.successes;
-        totals.withdrawals += record.firsthand && (evidence.flags & kWithdrawn) != 0;
+        totals.withdrawals += record.direct && (evidence.flags & kWithdrawn) != 0;
         totals.recoveries += (evidence.flags & kRecovered) != 0;
-        if (evidence.latency_ratio > 0 && record.firsthand) {
+        if (evidence.latency_ratio > 0 && record.direct) {
             latency_ratios += evidence.latency_ratio;
             ++totals.latency_reporters;
         }
         if (!reports_failure(evidence)) return;
         ++totals.reporters;
-        if (record.firsthand) {
+        if (record.direct) {
             ++totals.direct_reporters;
             totals.failures += evidence.failures;
         } else {
@@ -96,13 +96,13 @@
     request_confirmations(now, indirect, out);
 }
 
-// One answer brings all that its origin has to say, so origins that report several endpoints come first; ties
-// are in random order.
+// The order in which origins are asked. A reply contains all records of its origin, so origins that report
+// more endpoints come first; ties are in random order.
 std::vector<MemberId> EvidenceView::confirmation_order(const IndirectReporters& indirect) {
     std::map<MemberId, int> endpoints_reported;
     for (const auto& [endpoint, origins] : indirect)
         for (const MemberId origin : origins)
-            if (!asked_.count(origin)) ++endpoints_reported[origin];
+            if (!requested_at_.count(origin)) ++endpoints_reported[origin];
     std::vector<std::pair<double, MemberId>> ranked;
     ranked.reserve(endpoints_reported.size());
     for (const auto& [origin, endpoints] : endpoints_reported)
@@ -116,16 +116,16 @@
 
 void EvidenceView::request_confirmations(Millis now, const IndirectReporters& indirect,
                                          std::vector<Outgoing>& out) {
-    std::erase_if(asked_, [&](const auto& entry) { return now >= entry.second + kConfirmPeriod; });
+    std::erase_if(requested_at_, [&](const auto& entry) { return now >= entry.second + kConfirmPeriod; });
     std::set<MemberId> chosen;
     // Whether the origin reports an endpoint for which too few origins have been asked so far.
     const auto is_needed = [&](MemberId origin) {
         return std::any_of(indirect.begin(), indirect.end(), [&](const auto& entry) {
             const std::vector<MemberId>& origins = entry.second;
-            const auto asked = std::count_if(origins.begin(), origins.end(), [&](MemberId other) {
-                return chosen.count(other) > 0 || asked_.count(other) > 0;
+            const auto requested = std::count_if(origins.begin(), origins.end(), [&](MemberId other) {
+                return chosen.count(other) > 0 || requested_at_.count(other) > 0;
             });
-            return asked < static_cast<std::ptrdiff_t>(kQuorum) &&
+            return requested < static_cast<std::ptrdiff_t>(kQuorum) &&
                    std::find(origins.begin(), origins.end(), origin) != origins.end();
         });
     };
@@ -134,12 +134,13 @@
         if (!is_needed(origin)) continue;
         chosen.insert(origin);
         Datagram request = sender_.make(Kind::summary);
-        request.add(WantItem{origin});
+        request.add(StateRequestItem{origin});
         ++counts_.confirmations;
         sender_.send(origin, std::move(request), out);
     }
-    for (const MemberId origin : chosen) asked_[origin] = now;
-    if (!asked_.empty() && !indirect.empty()) outdated_ = true;  // answers may get lost: check again
+    for (const MemberId origin : chosen) requested_at_[origin] = now;
+    // Replies may get lost, so the next rebuild checks again.
+    if (!requested_at_.empty() && !indirect.empty()) outdated_ = true;
 }
 
 }  // namespace ochregrade::replication
