--- a/src/common/asio_implementation.cpp
+++ b/src/common/asio_implementation.cpp
@@ -1,5 +1,5 @@
-// The implementation of Asio and Beast in a build with OCHREGRADE_COMPILE_ASIO_ONCE, which the other sources
-// then only declare. CI's sanitizer build uses it: instrumenting Asio in each source takes a third of its
-// time.
+// Compiles the implementation of Asio and Beast once, in builds with OCHREGRADE_COMPILE_ASIO_ONCE; all other
+// sources then include only the declarations. CI's sanitizer build sets this option, because instrumenting
+// Asio in each source takes a third of that build's time.
 #include <boost/asio/impl/src.hpp>
 #include <boost/beast/src.hpp>
--- a/src/common/clock.hpp
+++ b/src/common/clock.hpp
@@ -1,6 +1,6 @@
-// The sidecar's only clock: Unix milliseconds, so that start times in discovery's records are comparable, but
-// driven by the steady clock, so that a step of the system's time neither reverses time nor fires deadlines
-// early.
+// The sidecar's only clock. It returns Unix time in milliseconds, so that its times are comparable with the
+// start times in discovery's records. The steady clock drives it, so that a step of the system clock neither
+// makes time go backwards nor lets deadlines expire early.
 #pragma once
 
 #include <chrono>
@@ -15,19 +15,19 @@
 
     /// Unix time in milliseconds; never goes backwards.
     Millis now() const { return unix_start_ + Duration(Steady::now() - start_).count(); }
-    /// The steady clock's time for a time of this clock, rounded up.
+    /// Converts a time of this clock to a time point of the steady clock, rounded up.
     Steady::time_point point(Millis at) const {
         return start_ + std::chrono::ceil<Steady::duration>(Duration(at - unix_start_));
     }
-    /// How far the system's clock is ahead of this one, milliseconds: 0 but for steps and drift since the
-    /// start.
+    /// How far the system clock is ahead of this clock, in milliseconds. The difference is 0 at the start and
+    /// changes only by steps and drift of the system clock.
     Millis wall_error() const { return system_now() + skipped_ + stepped_ - now(); }
-    /// For tests: moves this clock and the system's forward by `time`.
+    /// For tests: moves this clock and the system clock forward by `time`.
     void skip(Millis time) {
         unix_start_ += time;
         skipped_ += time;
     }
-    /// For tests: as if the system's clock had been stepped by `time`.
+    /// For tests: simulates a step of the system clock by `time`.
     void step_wall(Millis time) { stepped_ += time; }
 
 private:
--- a/src/common/endpoint_id.hpp
+++ b/src/common/endpoint_id.hpp
@@ -1,5 +1,5 @@
-// Numeric ids for the names of endpoints, equal at every sidecar, so that sidecars can refer to an endpoint
-// in messages to each other.
+// Derives a numeric id from an endpoint's name. Every sidecar derives the same id, so that sidecars can refer
+// to an endpoint in messages to each other.
 #pragma once
 
 #include <string_view>
@@ -8,8 +8,9 @@
 
 namespace ochregrade {
 
-/// The 32-bit FNV-1a hash of `name`, or the next free id after it. `is_taken(id)` tells whether another
-/// endpoint has the id; sidecars that resolve such a collision differently disagree about the two endpoints.
+/// Returns the 32-bit FNV-1a hash of `name`, or the next free id after it. `is_taken(id)` returns whether
+/// another endpoint has the id. Sidecars that resolve a collision differently disagree about which of the two
+/// endpoints an id denotes.
 template <class IsTaken>
 EndpointId endpoint_id(std::string_view name, IsTaken is_taken) {
     constexpr EndpointId kOffsetBasis = 2166136261u;
--- a/src/common/http.hpp
+++ b/src/common/http.hpp
@@ -22,16 +22,16 @@
 using HttpResponse = http::response<http::string_body>;
 using RequestPtr = std::shared_ptr<HttpRequest>;
 
-// Bounds of a message, bytes; the protocol gives them for requests and responses alike.
+// Limits of a message in bytes. The protocol sets the same limits for requests and responses.
 constexpr std::uint32_t kMaxHeader = 16 * 1024;
 constexpr std::uint64_t kMaxBody = 64 * 1024;
 
-/// Removes the hop-by-hop fields (RFC 9110, 7.6.1): the standard ones and those that Connection names.
+/// Removes the hop-by-hop fields (RFC 9110, 7.6.1): the standard fields and the fields that Connection names.
 template <class Fields>
 void strip_hop_by_hop(Fields& fields) {
     std::vector<std::string> names;
     for (const auto& name : http::token_list(fields[http::field::connection])) names.emplace_back(name);
-    // Never the fields by which a server recognises a request that it has seen before.
+    // Endpoints recognise a repeated request by these two fields, so Connection must not remove them.
     for (const auto& name : names)
         if (!beast::iequals(name, "Idempotency-Key") && !beast::iequals(name, "X-Correlation-Id"))
             fields.erase(name);
@@ -40,10 +40,10 @@
         fields.erase(name);
 }
 
-/// Passes the buffered bytes to a parser that is not eager; need_more if they are used up. `head_bytes`
-/// counts the bytes of the message's head so far. The limit on heads is enforced here: the parser consumes
-/// whole lines and compares its own limit with what remains, so that an endless head sent by whole lines
-/// would be kept without bound.
+/// Passes the buffered bytes to a parser that is not eager. Returns need_more when the parser has consumed
+/// all bytes that it can use. `head_bytes` counts the bytes of the message's head so far. This function
+/// enforces the limit on heads itself: the parser consumes complete lines and compares its limit only with
+/// the bytes that remain, so that a head that arrives line by line could grow without bound.
 template <class Parser>
 error_code parse_buffered(Parser& parser, beast::flat_buffer& in, std::size_t& head_bytes) {
     error_code ec = http::error::need_more;
@@ -58,9 +58,9 @@
     return ec;
 }
 
-/// What the kernel holds for a socket: no bytes, unread bytes, or the end of the connection.
+/// What the kernel has for the reader of a socket: no bytes, unread bytes, or the end of the connection.
 enum class SocketState { quiet, readable, ended };
-/// The socket's state, without consuming anything or blocking.
+/// Returns the socket's state without consuming bytes and without blocking.
 inline SocketState peek(tcp::socket& socket) {
     char byte = 0;
     ssize_t received = 0;
--- a/src/common/log.cpp
+++ b/src/common/log.cpp
@@ -25,17 +25,17 @@
     return logger;
 }
 
-// Whether a line can be written now without blocking on the log's reader. A pipe is writable when it has room
-// for PIPE_BUF bytes, and no line is longer. Where the kernel cannot tell, the line is written.
+// Whether a line can be written now without blocking on the log's reader. poll() reports a pipe as writable
+// when PIPE_BUF bytes fit into it, and no line is longer than that. If poll() fails, the line is written.
 bool is_writable() {
     pollfd output{STDERR_FILENO, POLLOUT, 0};
     return ::poll(&output, 1, 0) != 0;
 }
 
-// A token bucket; a token is one line.
+// A token bucket in which each token permits one line.
 class LineRateLimit {
 public:
-    /// Adds the tokens earned since the last call; true if there is one for the next line.
+    /// Adds the tokens that have accrued since the last call. Returns whether the next line has a token.
     bool refill() {
         const Clock::time_point now = Clock::now();
         const double elapsed_s = std::chrono::duration<double>(now - last_refill_).count();
@@ -51,8 +51,8 @@
     Clock::time_point last_refill_ = Clock::now();
 };
 
-// A JSON string: quotes and backslashes from peers or files cannot break the line's structure. Bytes that are
-// not UTF-8 are replaced.
+// Encodes `text` as a JSON string, so that quotes and backslashes from peers or files cannot break the line's
+// structure. Bytes that are not UTF-8 are replaced.
 std::string to_json_string(const std::string& text) {
     std::string line = text.substr(0, kMaxTextBytes);
     std::replace_if(
--- a/src/common/log.hpp
+++ b/src/common/log.hpp
@@ -1,5 +1,5 @@
-// The log on standard error: one JSON object a line, bounded in rate and line length, since files and pipes
-// count as memory and a failing peer must not fill them. Built on spdlog.
+// The log on standard error, built on spdlog. Each line is one JSON object. The rate of lines and their
+// length are bounded, because files and pipes count as memory and a failing peer must not fill them.
 #pragma once
 
 #include <spdlog/logger.h>
@@ -9,15 +9,15 @@
 
 namespace ochregrade::sidecar {
 
-/// The logger behind log_line(). Its lines are
+/// The logger that log_line() writes to. Its lines are
 /// {"t":"2026-12-01T20:56:21.123456Z","level":"info","name":"ochregrade","msg":"..."}.
-/// It is not in spdlog's registry, so nothing else can reach or reconfigure it.
+/// The logger is not in spdlog's registry, so that no other code can find or reconfigure it.
 spdlog::logger& log_sink();
 
-/// Writes one line at level info: at most 200 bytes of `text`, control characters replaced by '?', other
-/// bytes escaped so that the line stays valid JSON. Never blocks: a line that standard error cannot take at
-/// once, or that exceeds the rate (a burst of 100, then 2 a second), is dropped, and the next line written
-/// is preceded by the number of dropped ones. Not thread-safe.
+/// Writes one line at level info: at most 200 bytes of `text`, with control characters replaced by '?' and
+/// other bytes escaped so that the line is valid JSON. The function never blocks: it drops a line that
+/// standard error cannot accept at once or that exceeds the rate (a burst of 100 lines, then 2 lines a
+/// second). The number of dropped lines is logged before the next line that is written. Not thread-safe.
 void log_line(const std::string& text);
 
 }  // namespace ochregrade::sidecar
--- a/src/common/open_with_retry.hpp
+++ b/src/common/open_with_retry.hpp
@@ -1,5 +1,5 @@
-// Opening sockets at startup, where the system may be short of descriptors or buffers for a moment, or an
-// earlier process may not have released an address yet.
+// Opens sockets at startup, when the system may be short of descriptors or buffers for a moment or an earlier
+// process may not have released its address yet.
 #pragma once
 
 #include <chrono>
@@ -11,18 +11,20 @@
 
 namespace ochregrade::sidecar {
 
-// The process is expected to be ready within 6 s; retrying for longer would only hide the error.
+// The process is expected to be ready within 6 s of its start; longer retries would only hide the error.
 constexpr std::chrono::seconds kOpenRetryTimeout{4};
 constexpr std::chrono::milliseconds kOpenRetryInterval{20};
 
-/// Whether the error is a shortage of resources on this machine, and not one of an address or a peer.
+/// Whether the error reports a shortage of resources on this machine, as opposed to a fault of an address or
+/// of the remote side.
 inline bool is_shortage(error_code ec) {
     return ec == asio::error::no_descriptors || ec == asio::error::no_buffer_space ||
            ec == asio::error::no_memory || ec == error_code(ENFILE, boost::system::system_category());
 }
 
-/// Calls `open` until it meets neither a shortage nor an address in use, for kOpenRetryTimeout at most, and
-/// returns its result. Throws what `open` threw last. Blocks: for use before the event loop runs.
+/// Calls `open` and returns its result. Retries for at most kOpenRetryTimeout while `open` throws because of
+/// a resource shortage or an address in use, then throws the last exception of `open`. The function blocks
+/// and is called only before the event loop runs.
 template <class Open>
 auto open_with_retry(Open open) {
     const auto retry_until = std::chrono::steady_clock::now() + kOpenRetryTimeout;
--- a/src/common/random.hpp
+++ b/src/common/random.hpp
@@ -1,5 +1,6 @@
-// SplitMix64 (Steele, Lea, Flood: Fast Splittable Pseudorandom Number Generators, OOPSLA 2014). Gives the
-// same numbers with every standard library, so that a seed and a sequence of events determine all actions.
+// The random number generator SplitMix64 (Steele, Lea, Flood: Fast Splittable Pseudorandom Number Generators,
+// OOPSLA 2014). It returns the same numbers with every standard library, so that a seed and a sequence of
+// events determine all actions.
 #pragma once
 
 #include <cstddef>
--- a/src/common/socket_io.hpp
+++ b/src/common/socket_io.hpp
@@ -1,7 +1,8 @@
-// Reads and writes of stream sockets as Linux documents them: any call may be interrupted (EINTR), transfer
-// only a part although more is possible, or lack memory for a moment. Asio takes a short write for a full
-// buffer and waits for an edge-triggered event that then does not come, and leaves EINTR of its non-blocking
-// calls to the caller; so reads and writes go through these functions.
+// Reads from and writes to stream sockets in the way that Linux documents: any call may be interrupted
+// (EINTR), may transfer fewer bytes than possible, or may fail for a moment for lack of memory. Asio treats a
+// short write as a sign of a full buffer and then waits for an edge-triggered event that never arrives; it
+// also leaves EINTR of its non-blocking calls to the caller. The sidecar therefore reads and writes through
+// these functions.
 #pragma once
 
 #include <sys/socket.h>
@@ -13,7 +14,8 @@
 
 namespace ochregrade::sidecar {
 
-/// The result of one transfer. Fewer bytes than requested and no error: no more is possible now.
+/// The result of one transfer. Fewer bytes than requested without an error mean that the kernel can transfer
+/// no more bytes now.
 struct Transfer {
     std::size_t bytes = 0;
     error_code error{};
@@ -28,7 +30,7 @@
 
 }  // namespace detail
 
-/// Writes as much as the kernel takes now.
+/// Writes as many bytes as the kernel accepts now.
 inline Transfer write_available(tcp::socket& socket, asio::const_buffer bytes) {
     Transfer done;
     while (bytes.size() > 0) {
@@ -45,7 +47,8 @@
     return done;
 }
 
-/// Reads what one call returns; asio::error::eof if the peer has ended the connection.
+/// Reads the bytes that one call returns. The error is asio::error::eof if the remote side has closed the
+/// connection.
 inline Transfer read_available(tcp::socket& socket, asio::mutable_buffer bytes) {
     for (;;) {
         const ssize_t received = ::recv(socket.native_handle(), bytes.data(), bytes.size(), MSG_DONTWAIT);
@@ -56,8 +59,8 @@
     }
 }
 
-/// Writes all of `bytes`, which must live as long as `done` does, and calls done(error) from the event loop.
-/// Each wait queries the kernel's state again, so that no edge is missed.
+/// Writes all of `bytes` and then calls done(error) from the event loop. The memory of `bytes` must stay
+/// valid until then. Each wait queries the kernel's state again, so that no edge-triggered event is missed.
 template <class Done>
 void async_write_all(tcp::socket& socket, asio::const_buffer bytes, Done done) {
     const Transfer transfer = write_available(socket, bytes);
@@ -74,7 +77,7 @@
                       });
 }
 
-/// The message as it is sent on the wire.
+/// Serializes the message as it is sent on the connection.
 template <bool is_request>
 std::string text_of_message(http::message<is_request, http::string_body>& message) {
     std::string text;
--- a/src/storage/background_writer.cpp
+++ b/src/storage/background_writer.cpp
@@ -27,7 +27,7 @@
     if (ended)
         thread_.join();
     else
-        thread_.detach();  // stuck in the kernel; it shares ownership of all that it uses
+        thread_.detach();  // the thread is blocked in the kernel; it shares ownership of all that it uses
 }
 
 void BackgroundWriter::submit(const std::string& kind, std::string payload) {
@@ -51,7 +51,7 @@
 void BackgroundWriter::run(const std::shared_ptr<Shared>& shared) {
     Shared& s = *shared;
     std::unique_lock lock(s.mutex);
-    int failures = 0;  // in a row
+    int failures = 0;  // consecutive
     for (;;) {
         s.changed.wait(lock, [&] { return s.stop || !s.pending.empty(); });
         if (s.pending.empty()) break;
@@ -74,7 +74,7 @@
             s.pending.erase(next.key());
             continue;
         }
-        s.pending.insert(std::move(next));  // unless a newer one is pending by now
+        s.pending.insert(std::move(next));  // no effect if a newer payload of the kind has been submitted
         const auto backoff = s.first_backoff * (1 << std::min(failures++, kMaxBackoffDoublings));
         s.changed.wait_for(lock, backoff, [&] { return s.stop; });
     }
--- a/src/storage/background_writer.hpp
+++ b/src/storage/background_writer.hpp
@@ -1,6 +1,6 @@
-// Writes records on a thread of its own, one at a time, so that the event loop never waits for the disk. Of
-// each kind only the newest payload is pending: a slow disk makes the stored state older but takes no memory.
-// Failed writes are retried with exponential backoff.
+// Writes records on a separate thread, one at a time, so that the event loop never waits for the disk. Only
+// the newest payload of each kind is pending: a slow disk makes the stored state older but does not make the
+// queue grow. Failed writes are retried with exponential backoff.
 #pragma once
 
 #include <chrono>
@@ -20,25 +20,25 @@
 public:
     struct Counts {
         std::uint64_t written = 0, failed = 0, coalesced = 0, bytes = 0;
-        std::error_code last_error;  // of the last write; none if it succeeded
+        std::error_code last_error;  // result of the last write; empty if that write succeeded
     };
     using Clock = std::chrono::steady_clock;
 
     BackgroundWriter(std::shared_ptr<Directory> directory, std::shared_ptr<RecordStore> store,
                      std::chrono::milliseconds first_backoff = std::chrono::milliseconds(1000));
-    /// Tries once more to write what is pending, but waits for at most a second.
+    /// Makes one attempt to write each pending payload, but waits for at most a second.
     ~BackgroundWriter();
     BackgroundWriter(const BackgroundWriter&) = delete;
     BackgroundWriter& operator=(const BackgroundWriter&) = delete;
 
-    /// Replaces a pending payload of the kind. Never waits for the disk.
+    /// Queues the payload; it replaces a pending payload of the same kind. Never waits for the disk.
     void submit(const std::string& kind, std::string payload);
     Counts counts() const;
-    /// Waits until everything submitted is on the disk; false: not within that time.
+    /// Waits until all submitted payloads are on the disk. Returns false if that takes longer than `within`.
     bool settled(std::chrono::milliseconds within);
 
 private:
-    /// Owned by the thread too, which may outlive this object if the disk does not answer.
+    /// Shared with the thread, which may outlive this object if the disk does not respond.
     struct Shared {
         std::shared_ptr<Directory> directory;
         std::shared_ptr<RecordStore> store;
--- a/src/storage/directory.cpp
+++ b/src/storage/directory.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxFileBytes = 64 << 20;  // far beyond any record
+constexpr std::size_t kMaxFileBytes = 64 << 20;  // far larger than any record
 constexpr std::size_t kReadBytes = 65536;
 
 std::error_code error_of(int error_number) { return {error_number, std::generic_category()}; }
@@ -119,13 +119,14 @@
 }  // namespace
 
 OpenedDirectory open_directory(const std::string& path) {
-    // One that can't be created may still exist, on a file system that is read-only.
+    // These errors are ignored because the directory may exist already, for example on a read-only file
+    // system.
     if (::mkdir(path.c_str(), 0700) != 0 && errno != EEXIST && errno != EROFS && errno != EACCES)
         return {nullptr, last_error()};
     const int fd = ::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
     if (fd < 0) return {nullptr, last_error()};
     auto directory = std::make_unique<FileSystemDirectory>(fd);
-    // The lock is on the directory and not on a file in it: that works on a read-only file system too.
+    // The lock is on the directory, not on a file in it, so that it works on a read-only file system too.
     if (::flock(fd, LOCK_EX | LOCK_NB) != 0) return {nullptr, last_error()};
     return {std::move(directory), {}};
 }
--- a/src/storage/record_store.cpp
+++ b/src/storage/record_store.cpp
@@ -25,7 +25,7 @@
     for (std::size_t i = 0; i < sizeof value; ++i) out += static_cast<char>(value >> (8 * i) & 0xff);
 }
 
-// Reads a number from the front; false: there are too few bytes.
+// Removes a number from the front of `in`. Returns false if `in` has too few bytes.
 template <class T>
 bool take(std::string_view& in, T& value) {
     if (in.size() < sizeof value) return false;
@@ -67,7 +67,8 @@
     if (bytes.empty()) return damaged("it is empty");
     if (bytes.size() < kMagic.size() + 4 || bytes.substr(0, kMagic.size()) != kMagic)
         return damaged("its header is not that of a record");
-    // The checksum first: nothing in a damaged record can be trusted, not even its version.
+    // The checksum is verified first, because no field of a damaged record can be trusted, not even the
+    // version.
     std::string_view end = bytes.substr(bytes.size() - 4);
     const std::string_view all = bytes.substr(0, bytes.size() - 4);
     take(end, sum);
@@ -129,7 +130,7 @@
     sequences.clear();
     for (const std::string& name : names) {
         std::string bytes;
-        if (const std::error_code error = directory_.read(name, bytes)) {  // may succeed another time
+        if (const std::error_code error = directory_.read(name, bytes)) {  // a later read may succeed
             log_(name + " can't be read: " + error.message());
             continue;
         }
@@ -142,7 +143,7 @@
         const bool intact = decoded.error == DecodeError::none;
         if (intact && (decoded.record.kind != kind || decoded.record.sequence != sequence))
             decoded.reason = "its kind or number differs from its file name";
-        else if (intact && !newest)  // older ones are not validated: they were valid for an older program
+        else if (intact && !newest)  // older records may be valid only for an older program
             decoded.reason = validate(decoded.record);
         if (!decoded.reason.empty()) {
             quarantine(name, decoded.reason);
@@ -164,7 +165,7 @@
     directory_.sync_directory();
 }
 
-// Deletes the oldest by sequence, whatever their kind.
+// Deletes the quarantined files with the lowest sequences, regardless of their kind.
 void RecordStore::limit_quarantine() {
     std::vector<std::string> names;
     directory_.list(names);
@@ -190,18 +191,19 @@
     sequences_[kind].clear();
 }
 
-// Durable on success; on failure the file may be there in part.
+// Writes a file that is durable on success. After a failure the file may exist with a part of the bytes.
 std::error_code RecordStore::write_file(const std::string& name, const std::string& bytes) {
     if (const std::error_code error = directory_.create(name)) return error;
     std::error_code error = directory_.write(bytes);
-    // A failed sync means that the data is not on the disk, and a second sync would not report that again.
+    // After a failed sync the data is not on the disk, and a second sync would not report the loss again.
     if (!error) error = directory_.sync();
     const std::error_code closed = directory_.close();
     return error ? error : closed;
 }
 
 std::error_code RecordStore::save(const std::string& kind, const std::string& payload) {
-    // A sequence is used once, also if saving fails: a partly written file never gets in the way.
+    // Each sequence is used only once, even if saving fails, so that a partly written file never conflicts
+    // with a later record.
     const std::uint64_t sequence = ++last_sequence_;
     const std::string name = name_of(kind, sequence);
     const std::string unfinished = std::string(kUnfinishedPrefix) + name;
@@ -211,7 +213,8 @@
         directory_.remove(unfinished);
         return error;
     }
-    // The older records stay until this succeeds: without it the new name may not survive a loss of power.
+    // Older records are deleted only after this sync succeeds: without it, the new name may be lost in a
+    // power failure.
     error = directory_.sync_directory();
     sequences_[kind].push_back(sequence);
     if (!error) prune(kind);
--- a/src/storage/record_store.hpp
+++ b/src/storage/record_store.hpp
@@ -1,6 +1,6 @@
-// Durable records: each in a file of its own, verified when it is read. A record is either found as it was
-// written or not used; the newest valid one of a kind counts. No clock and no thread of its own.
-// Source: docs/RECOVERY.md.
+// A store of durable records. Each record is a separate file, which is verified when it is read: a record
+// that differs from what was written is not used. The newest valid record of a kind is the current one. The
+// store uses no clock and no thread. Source: docs/RECOVERY.md.
 #pragma once
 
 #include <cstdint>
@@ -22,8 +22,8 @@
     std::string payload;
 };
 
-/// Format on disk, little-endian: "KELPREC1", u32 version, u32 length of kind, kind, u64 sequence, u64 length
-/// of payload, payload, u32 CRC-32C of everything before it, end of file.
+/// The format on disk, little-endian: "KELPREC1", u32 version, u32 length of kind, kind, u64 sequence, u64
+/// length of payload, payload, u32 CRC-32C of all preceding bytes, end of file.
 constexpr std::uint32_t kVersion = 1;
 std::string encode(const Record& record);
 
@@ -35,29 +35,30 @@
 struct Decoded {
     Record record;
     DecodeError error = DecodeError::none;
-    std::string reason;  // of the error, for the log
+    std::string reason;  // description of the error for the log
 };
 Decoded decode(std::string_view bytes);
 
 class RecordStore {
 public:
     using LogCallback = std::function<void(const std::string& line)>;
-    /// Returns why the record can't be used; empty: it can.
+    /// Returns the reason why the record can't be used, or an empty string if it is valid.
     using Validator = std::function<std::string(const Record&)>;
-    static constexpr std::size_t kMaxRecords = 3;       // retained of each kind
-    static constexpr std::size_t kMaxQuarantined = 16;  // beyond that the oldest are deleted, which is logged
+    static constexpr std::size_t kMaxRecords = 3;       // retained records of each kind
+    static constexpr std::size_t kMaxQuarantined = 16;  // files; older ones are deleted, and that is logged
 
-    /// Deletes unfinished files and continues after the highest sequence found. `directory` must outlive
-    /// this.
+    /// Deletes unfinished files and continues after the highest sequence found. `directory` must outlive the
+    /// store.
     RecordStore(Directory& directory, LogCallback log);
 
-    /// The newest valid record of the kind. Damaged and rejected ones are quarantined (renamed); those
-    /// written by a newer program are left alone.
+    /// Returns the newest valid record of the kind. Damaged records and records that `validate` rejects are
+    /// quarantined (renamed); records that a newer program has written are not changed.
     std::optional<Record> load(const std::string& kind, const Validator& validate);
     /// Quarantines all records of the kind.
     void quarantine_all(const std::string& kind, const std::string& reason);
 
-    /// Success: the record is durable and will be found. Failure: the earlier one will be found, or this one.
+    /// On success the record is durable, and load() will return it. After a failure load() will return either
+    /// the previous record or this one.
     std::error_code save(const std::string& kind, const std::string& payload);
 
 private:
@@ -74,7 +75,7 @@
 
     Directory& directory_;
     LogCallback log_;
-    std::uint64_t last_sequence_ = 0;                              // the highest ever seen or used
+    std::uint64_t last_sequence_ = 0;                              // highest sequence found or used
     std::map<std::string, std::vector<std::uint64_t>> sequences_;  // valid records by kind, oldest first
 };
 
