--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -11,21 +11,22 @@
 
 namespace {
 
-// A long poll may fall silent without an error, which shows only when its wait is over. A change that it
-// misses has to be received within 6 s of that, so the wait, the time beyond it, the pause after a failed
-// call and the next call have to fit in there together. Each call waits between half of this and all of it:
-// the first calls of many sidecars coincide.
+// A long poll may stall without an error, which shows only after its wait has expired. The sidecar must still
+// be notified of a missed change within 6 s, so the wait, kTimeoutBeyondWait, the pause after a failed call
+// and the next call must together take less than that. Each call waits a random time between half of this
+// value and all of it, because the first calls of many sidecars start at the same time.
 constexpr double kMaxWaitMs = 2000;
-// Discovery has time to answer until 2 s after a call's wait, and 6 s for other calls. Who leaves sooner
-// leaves its work queued at discovery, done for nobody.
+// The client waits for a response until 2 s after the end of a long poll's wait, and 6 s in other calls. With
+// shorter timeouts, discovery would spend its time on queued calls whose client has already disconnected.
 constexpr std::chrono::milliseconds kTimeoutBeyondWait{2000};
 constexpr std::chrono::milliseconds kCallTimeout{6000};
 constexpr std::chrono::milliseconds kConnectTimeout{2000};
-// Lower sequence numbers for so long are a restarted sequence; a single one may be a late answer.
+// Discovery has restarted its sequence if its lists have lower sequence numbers for this long; a single lower
+// number may belong to a late response.
 constexpr std::chrono::milliseconds kRestartConfirmation{1000};
 constexpr std::uint64_t kMaxBodyBytes = 16 * 1024 * 1024;
 constexpr int kOk = 200;
-// The pause before a retry: 50 to 150 ms, so that sidecars don't retry in step.
+// The pause before a retry is 50 to 150 ms, at random, so that sidecars do not retry at the same time.
 constexpr std::size_t kRetryPauseMs = 50;
 constexpr std::size_t kRetryJitterMs = 100;
 
@@ -37,8 +38,8 @@
     std::string request;
     http::response_parser<http::string_body> parser;
     beast::flat_buffer buffer;
-    std::chrono::milliseconds timeout{};  // once connected
-    bool complete = false;                // the complete list was asked for
+    std::chrono::milliseconds timeout{};  // of request and response, from the established connection on
+    bool complete = false;                // the call requests the complete list
 };
 
 DiscoveryClient::DiscoveryClient(asio::io_context& io, const tcp::endpoint& address,
@@ -68,10 +69,10 @@
     log_line("discovery address changed: requesting the list from the new address");
     address_ = address;
     cancel_call();
-    seq_ = 0;  // the new discovery has its own sequence
+    seq_ = 0;  // the new address has a different sequence
     lower_since_.reset();
     complete_list_needed_ = true;
-    active_ = true;  // a pause after a failed call was about the old address
+    active_ = true;  // a pause after a failed call applies only to the old address
     start_next_call();
 }
 
@@ -84,7 +85,7 @@
     start_next_call();
 }
 
-// Its handlers still run, and find that it is not the current one.
+// The handlers of the cancelled call still run; still_current() returns false there.
 void DiscoveryClient::cancel_call() {
     const CallPtr call = std::move(call_);
     call_.reset();
@@ -127,14 +128,14 @@
 
 void DiscoveryClient::exchange(const CallPtr& call) {
     call->stream->expires_after(call->timeout);
-    // An error in writing shows in reading too, which has the stream's timeout.
+    // The write's error is ignored: the read then fails too, and it has the stream's timeout.
     async_write_all(call->stream->socket(), asio::buffer(call->request), [call](error_code) {});
     http::async_read(*call->stream, call->buffer, call->parser, [this, call](error_code ec, std::size_t) {
         if (still_current(call, ec)) response_received(call);
     });
 }
 
-// False after an error, which has been handled, and for a call that was cancelled meanwhile.
+// Returns false after an error, which this function handles, and for a call that has been cancelled.
 bool DiscoveryClient::still_current(const CallPtr& call, error_code ec) {
     if (ec == beast::error::timeout)
         call_timed_out(call, ec.message());
@@ -143,7 +144,7 @@
     return !ec && call_ == call;
 }
 
-// None if the response can't be used, which has been handled.
+// Returns nothing if the response can't be used; this function has then handled the failure.
 std::optional<EndpointList> DiscoveryClient::parse_response(const CallPtr& call) {
     const auto& response = call->parser.get();
     if (response.result_int() != kOk) {
@@ -178,7 +179,7 @@
     seq_ = list.seq;
     if (list.complete) complete_list_needed_ = false;
     if (call->complete) fetch_requested_ = false;
-    // The next call goes out before the list is handled, so that no change is missed meanwhile.
+    // The next call starts before the list is handled, so that the client misses no change during that time.
     start_next_call();
     if (list.complete || !list.endpoints.empty() || polled_) handlers_.on_endpoints(list);
 }
@@ -187,8 +188,9 @@
     return claimed_incarnation_ > incarnation_ && list.seq >= claimed_seq_;
 }
 
-// A late answer has a lower number once. A discovery that restarted its sequence sends lower numbers, and no
-// others, for kRestartConfirmation, or other sidecars have seen it restart.
+// Whether a list with a lower sequence number shows that discovery has restarted its sequence. A late
+// response has a lower number only once. A restart is confirmed if every list has a lower number for
+// kRestartConfirmation, or if other sidecars have seen the restart.
 bool DiscoveryClient::sequence_restarted(const EndpointList& list) {
     if (!list.complete) return false;
     const auto now = std::chrono::steady_clock::now();
@@ -203,13 +205,13 @@
     return true;
 }
 
-// The current list came from the same source and may be wrong too: the complete list is next.
+// Requests the complete list next, because the current list has the same source and may be wrong too.
 void DiscoveryClient::response_invalid(const CallPtr& call, const std::string& reason) {
     complete_list_needed_ = true;
     handle_call_failure(call, reason);
 }
 
-// Drops the call under way; false if it has been cancelled already.
+// Discards the failed call. Returns false if the call has been cancelled already.
 bool DiscoveryClient::drop_failed(const CallPtr& call, const std::string& reason) {
     if (call_ != call) return false;
     log_line("discovery: " + reason);
@@ -219,8 +221,8 @@
     return true;
 }
 
-// A call without an answer has changed nothing: asking for the changes since the current list misses none,
-// and is cheaper for discovery than the complete list.
+// A call without a response leaves the current list as it is. The next call therefore requests only the
+// changes since that list: it misses no change and costs discovery less than the complete list.
 void DiscoveryClient::handle_call_failure(const CallPtr& call, const std::string& reason) {
     if (!drop_failed(call, reason)) return;
     if (!polled_) return retry_soon();
@@ -229,8 +231,8 @@
     handlers_.on_failed();
 }
 
-// The timeout has taken longer than any pause would. Another pause on top of it, as a polled client's owner
-// makes, would leave the next call too little of the time within which a change has to be received.
+// A timeout has already taken longer than any pause. If the owner of a polled client added its pause to the
+// timeout, the next call might not be notified of a change in time.
 void DiscoveryClient::call_timed_out(const CallPtr& call, const std::string& reason) {
     if (drop_failed(call, reason)) retry_soon();
 }
--- a/src/discovery/discovery_client.hpp
+++ b/src/discovery/discovery_client.hpp
@@ -1,5 +1,6 @@
-// The client of discovery (docs/DISCOVERY.md): long polls for changes of the endpoint list, or single calls
-// where lists are polled. Answers that can't be read or are older than the current list change nothing.
+// The client of discovery (docs/DISCOVERY.md). It requests changes of the endpoint list by long polls, or
+// makes single calls if lists are polled. Responses that are invalid or older than the current list are
+// ignored.
 #pragma once
 
 #include <boost/beast/core/tcp_stream.hpp>
@@ -18,30 +19,33 @@
 public:
     struct Handlers {
         std::function<void(const EndpointList&)> on_endpoints;
-        /// Only if polled: a call failed, and the client is inactive until watch() or fetch() is called. A
-        /// call that timed out is retried by the client itself.
+        /// Called after a failed call, but only if lists are polled. The client is then inactive until
+        /// watch() or fetch() is called. The client itself retries a call that timed out, without calling
+        /// this.
         std::function<void()> on_failed;
     };
-    /// known_seq: sequence number of the list at the start, if there is one. polled: see
-    /// Settings::polled_discovery. seed: of the random parts of waits and pauses. What the handlers use must
-    /// outlive the client's loop.
+    /// known_seq: sequence number of the list that the sidecar starts with, if it has one. polled: see
+    /// Settings::polled_discovery. seed: for the random parts of waits and pauses. Objects that the handlers
+    /// use must outlive the event loop `io`.
     DiscoveryClient(asio::io_context& io, const tcp::endpoint& address,
                     std::optional<std::uint64_t> known_seq, bool polled, std::uint64_t seed,
                     Handlers handlers);
 
-    /// Whether calls for changes follow one another.
+    /// Starts or stops the series of calls for changes. A call in flight is not cancelled.
     void watch(bool active);
     /// Fetches the complete list once.
     void fetch();
     /// Sequence number of the current list.
     std::uint64_t seq() const { return seq_; }
-    /// Counts from 1 how often discovery restarted its sequence; a list is identified by this and its number.
+    /// Incarnation of discovery's sequence: starts at 1 and grows by 1 whenever discovery restarts its
+    /// sequence. Incarnation and sequence number together identify a list.
     std::uint32_t incarnation() const { return incarnation_; }
-    /// Fetches the complete list now, whatever is under way: other sidecars have a newer one, with this
-    /// incarnation and number.
+    /// Cancels a call in flight and fetches the complete list at once, because other sidecars have a newer
+    /// list with this incarnation and sequence number.
     void poll_now(std::uint32_t incarnation, std::uint64_t seq);
     void set_polled(bool polled) { polled_ = polled; }
-    /// Calls go to another address from now on, first for the complete list; a call under way is dropped.
+    /// Cancels a call in flight and sends all further calls to `address`. The first of them requests the
+    /// complete list.
     void set_address(const tcp::endpoint& address);
 
 private:
@@ -68,19 +72,21 @@
     Random random_;
     tcp::endpoint address_;
     Handlers handlers_;
-    CallPtr call_;                                   // under way
-    std::unique_ptr<beast::tcp_stream> connection_;  // idle, for the next call
+    CallPtr call_;                                   // in flight
+    std::unique_ptr<beast::tcp_stream> connection_;  // idle connection for the next call
     asio::steady_timer retry_timer_;
     std::uint64_t seq_ = 0;
     std::uint32_t incarnation_ = 1;
-    std::uint32_t claimed_incarnation_ = 0;  // highest that other sidecars act on
+    // Incarnation and sequence number of the newest list that other sidecars use.
+    std::uint32_t claimed_incarnation_ = 0;
     std::uint64_t claimed_seq_ = 0;
-    // Since when complete lists have lower numbers than the current one, and the last one's number.
+    // When the first of the complete lists with lower numbers than the current list arrived, and the number
+    // of the latest such list.
     std::optional<std::chrono::steady_clock::time_point> lower_since_;
     std::uint64_t lower_seq_ = 0;
     bool polled_;
     bool active_ = false;
-    bool complete_list_needed_ = false;  // changes may have been missed
+    bool complete_list_needed_ = false;  // the client may have missed changes
     bool fetch_requested_ = false;
 };
 
--- a/src/discovery/start_times.hpp
+++ b/src/discovery/start_times.hpp
@@ -1,5 +1,5 @@
-// When endpoints started, on this process's clock. Discovery tells it as Unix time, by a wall clock that may
-// have been stepped since this process read it, or between the starts of two endpoints.
+// Converts the start times of endpoints to this process's clock. Discovery sends them as Unix times of a wall
+// clock that may have been stepped since this process read it, or between the starts of two endpoints.
 #pragma once
 
 #include <algorithm>
@@ -12,8 +12,8 @@
 
 class StartTimes {
 public:
-    /// How far the wall clock is ahead of this process's by now (Clock::wall_error). To be called before each
-    /// list.
+    /// Records how far the wall clock is now ahead of this process's clock (Clock::wall_error). The caller
+    /// does this before it converts the times of a list.
     void observe(Millis wall_error) {
         const auto is_same = [wall_error](Millis error) { return std::abs(error - wall_error) < kMinStep; };
         if (std::any_of(errors_.begin(), errors_.end(), is_same)) return;
@@ -21,9 +21,10 @@
         errors_.push_back(wall_error);
     }
 
-    /// Converts a start time. Which of the wall clock's errors it contains is unknown: the latest result that
-    /// is not in the future is taken, since a warm endpoint taken for a cold one loses some load, and a cold
-    /// one taken for warm is overloaded. 0 stays 0: long ago.
+    /// Converts a start time. It is unknown which of the wall clock's recorded errors a start time contains,
+    /// so the function returns the latest result that is not in the future: a warm endpoint that is treated
+    /// as cold only loses some load, but a cold endpoint that is treated as warm is overloaded. 0 means long
+    /// ago and stays 0.
     Millis start_of(Millis started_at, Millis now) const {
         if (started_at <= 0) return 0;
         Millis latest = -1;
@@ -35,10 +36,10 @@
     }
 
 private:
-    static constexpr Millis kMinStep = 100;  // less is drift or the time between two readings
+    static constexpr Millis kMinStep = 100;  // smaller differences are drift or the time between two readings
     static constexpr std::size_t kMaxErrors = 8;
 
-    std::vector<Millis> errors_ = {0};  // the first is that of the process's start
+    std::vector<Millis> errors_ = {0};  // the first element is the error at the start of the process
 };
 
 }  // namespace ochregrade::sidecar
--- a/src/recovery/start_plan.cpp
+++ b/src/recovery/start_plan.cpp
@@ -26,14 +26,15 @@
     return seed.str().substr(0, kSeedDigits);
 }
 
-// Whether operators have changed the configuration since the file was last accepted as it is now, or its
-// canary was not over. A file that says something new overrides them.
+// Whether the last known good configuration is used instead of the file. This is the case if the file has not
+// changed since it was last accepted, and operators have changed the configuration since then or the canary
+// of the file's configuration had not ended. A changed file overrides the operators' changes.
 bool overrides_file(const RecoveredState& recovered, const std::string& file_document) {
     return recovered.last_known_good && recovered.file == file_document &&
            recovered.last_known_good->dump() != file_document;
 }
 
-// The stored document with the fixed fields of the file.
+// Returns the stored document with the file's values of the fixed fields (FieldKind::fixed).
 json with_fixed_fields_of(json document, const json& file, const json& file_document) {
     for (const char* field : {"name", "listen"}) document[field] = file.at(field);
     if (!file_document.contains(kOwnSection)) return document;
@@ -43,7 +44,7 @@
     return document;
 }
 
-// Start-only fields stay the file's.
+// Puts the last known good configuration into `start`. Start-only fields keep the file's values.
 void use_last_known_good(Start& start, const json& file, const RecoveredState& recovered) {
     try {
         const json document =
@@ -62,7 +63,8 @@
     }
 }
 
-// Stored endpoints replace the file's if they are of the same discovery and newer.
+// The stored endpoint list replaces the file's list if it is newer and comes from the same discovery address,
+// or if the file has no list.
 void choose_endpoints(Start& start, const RecoveredState& recovered) {
     if (!recovered.endpoints) return;
     std::ostringstream discovery;
@@ -80,7 +82,8 @@
         if (const char* text = std::getenv(variable); text && *text) document[field] = text;
 }
 
-// The file, or why it is rejected; and the state folder that it or the environment names.
+// The file's document or the reason for its rejection, and the state folder that the file or the environment
+// names.
 struct FileResult {
     std::optional<json> document;
     std::optional<ConfigError> error;
--- a/src/recovery/start_plan.hpp
+++ b/src/recovery/start_plan.hpp
@@ -1,5 +1,5 @@
-// What a process starts with: the file's configuration, or what the state folder says instead
-// (docs/RECOVERY.md).
+// Decides which configuration and which endpoint list a process starts with: those of the configuration file
+// or those of the state folder (docs/RECOVERY.md).
 #pragma once
 
 #include <memory>
@@ -13,19 +13,20 @@
 
 struct Start {
     Config config;
-    std::string file_document;  // of the file; empty if it was rejected
+    std::string file_document;  // the file's document; empty if the file was rejected
     ConfigVersions::Source source = ConfigVersions::Source::start;
-    std::unique_ptr<StateStore> state_store;  // null: no folder is configured
+    std::unique_ptr<StateStore> state_store;  // null if the state folder is not used
     RecoveredState recovered;
-    bool endpoints_restored = false;  // known_endpoints are the stored ones: discovery may count from anew
+    /// config.known_endpoints come from the state folder; discovery may have restarted its sequence since.
+    bool endpoints_restored = false;
 };
 
-/// Reads the file and the state folder. Throws ConfigError if the file is rejected and nothing may replace it
-/// (OCHREGRADE_LAST_KNOWN_GOOD, OCHREGRADE_STATE_DIR).
+/// Reads the file and the state folder. Throws ConfigError if the file is rejected and no stored
+/// configuration may replace it (OCHREGRADE_LAST_KNOWN_GOOD, OCHREGRADE_STATE_DIR).
 Start prepare_start();
 
-/// The decision alone. `file`: the file's document; none if it was rejected, which takes
-/// recovered.last_known_good.
+/// Decides without reading files. `file` is the file's document; without a value the file was rejected, and
+/// the process starts with recovered.last_known_good.
 Start decide_start(const std::optional<nlohmann::json>& file, const RecoveredState& recovered);
 
 }  // namespace ochregrade::sidecar
--- a/src/recovery/state_records.cpp
+++ b/src/recovery/state_records.cpp
@@ -9,14 +9,15 @@
 
 using nlohmann::json;
 
-// The start-only field "seed" has to be there; nothing random is derived from these configurations.
+// The field "seed" is required, but no random numbers are derived from the seed of a stored configuration.
 constexpr const char* kNoSeed = "0";
 
 json parse_text_field(const json& record, const char* field) {
     return parse_config(record.at(field).get<std::string>(), field);
 }
 
-// Records of earlier versions may use the former name of the program's section.
+// Returns the document with the present name of the program's section; records of earlier versions may have
+// the section's former name.
 std::string in_present_form(const std::string& document) {
     try {
         return parse_config(document, "file").dump();
@@ -86,7 +87,7 @@
                                   const ConfigVersions::Entry& last_known_good,
                                   const std::string& file_document) {
     json stored;
-    // Documents are stored as text: parsing them here would cost the event loop its time.
+    // Documents are stored as text, because parsing them here would block the event loop.
     stored["good"] = last_known_good.snapshot->config.document;
     stored["file"] = file_document;
     stored["next"] = versions.next_version();
--- a/src/recovery/state_records.hpp
+++ b/src/recovery/state_records.hpp
@@ -1,6 +1,6 @@
-// The payloads of the records in the state folder: JSON, whose keys are a stored format and don't change
-// (docs/RECOVERY.md). Parsing checks everything that a later use relies on and throws std::exception with the
-// reason.
+// Reads and writes the payloads of the records in the state folder (docs/RECOVERY.md). A payload is JSON; its
+// keys are a stored format and do not change. The parse functions validate everything that later code relies
+// on, and throw std::exception with the reason if a payload is invalid.
 #pragma once
 
 #include <cstdint>
@@ -15,17 +15,17 @@
 
 namespace ochregrade::sidecar {
 
-/// A Config from a version's document, which says nothing of start-only fields. `seed`: hex digits. `known`:
-/// the endpoints to start with, or null. Throws ConfigError.
+/// Returns the Config of a version's document, which lacks the start-only fields. `seed`: hex digits.
+/// `known`: the endpoint list to start with, or null. Throws ConfigError.
 Config read_stored_document(nlohmann::json document, const std::string& seed, const nlohmann::json* known);
 
 /// The record "config".
 struct ConfigRecord {
     nlohmann::json last_known_good;  // a version's document
-    std::string file_document;       // of the file when it was last accepted
+    std::string file_document;       // the file's document when the file was last accepted
     std::uint64_t next_version = 1;
     bool canary_under_way = false;
-    std::deque<ConfigVersions::Entry> versions;  // the good ones, oldest first
+    std::deque<ConfigVersions::Entry> versions;  // versions in state good, oldest first
 };
 ConfigRecord parse_config_record(const std::string& payload);
 std::string config_record_payload(const ConfigVersions& versions,
@@ -35,16 +35,17 @@
 /// The record "world".
 struct EndpointsRecord {
     EndpointList list;
-    std::string discovery;                         // address:port that the list came from
-    std::vector<NamedEndpointSnapshot> snapshots;  // as of written_at
+    std::string discovery;                         // address:port of the discovery that sent the list
+    std::vector<NamedEndpointSnapshot> snapshots;  // taken at written_at
     Timestamps written_at{};
 };
 EndpointsRecord parse_endpoints_record(const std::string& payload);
 std::string endpoints_record_payload(const EndpointsRecord& record);
-/// Equal for records that differ only in figures that change by themselves.
+/// A text that is equal for records that differ only in values that change continuously: the time of writing,
+/// latency ratios and the remaining time of ejections.
 std::string endpoints_record_identity(const EndpointsRecord& record);
 
-/// The record "starts": how many runs in a row ended early.
+/// The record "starts": the number of consecutive runs that have not been confirmed as stable.
 int parse_starts_record(const std::string& payload);
 std::string starts_record_payload(int starts);
 
--- a/src/recovery/state_store.cpp
+++ b/src/recovery/state_store.cpp
@@ -9,12 +9,13 @@
 
 namespace {
 
-// Kinds of records; part of their files' names.
+// Kinds of records; a kind is part of the file name.
 constexpr const char* kConfigKind = "config";
 constexpr const char* kEndpointsKind = "world";
 constexpr const char* kStartsKind = "starts";
 
-// The snapshots that still mean something after `elapsed`.
+// Returns the snapshots as they are after `elapsed`, without those whose ejection and latency ratio have
+// expired.
 std::vector<NamedEndpointSnapshot> age_snapshots(std::vector<NamedEndpointSnapshot> snapshots,
                                                  Millis elapsed) {
     for (NamedEndpointSnapshot& snapshot : snapshots) {
@@ -74,8 +75,8 @@
     return state;
 }
 
-// False: the disk can't be written to. The count is on the disk before any of the state is used, since the
-// state may be what ends this run.
+// Returns false if the disk can't be written to. The new count is on the disk before any of the state is
+// used, because the state may be the cause of a crash of this run.
 bool StateStore::count_start(RecoveredState& state) {
     const int starts = load<int>(kStartsKind, parse_starts_record).value_or(0);
     if (const std::error_code error = store_->save(kStartsKind, starts_record_payload(starts + 1))) {
@@ -112,7 +113,7 @@
     }
     state.endpoints = std::move(record->list);
     state.discovery = std::move(record->discovery);
-    // Of unknown age, ejections may all be over.
+    // If the record's age is unknown, all ejections may have expired.
     if (elapsed) state.snapshots = age_snapshots(std::move(record->snapshots), *elapsed);
 }
 
--- a/src/recovery/state_store.hpp
+++ b/src/recovery/state_store.hpp
@@ -1,5 +1,6 @@
-// What a sidecar stores on disk, and how much of it a later run may use (docs/RECOVERY.md). Off unless a
-// folder is configured. The event loop waits for the disk only once: at the start, before anybody is served.
+// Stores the state of a sidecar on disk and decides how much of it a later run may use (docs/RECOVERY.md).
+// State is stored only if a folder is configured. The process waits for the disk only once: at the start,
+// before it serves requests.
 #pragma once
 
 #include <deque>
@@ -17,43 +18,46 @@
 
 namespace ochregrade::sidecar {
 
-/// A stored endpoint list older than this is not used; one of unknown age counts as just this old.
+/// A stored endpoint list older than this is not used. A list of unknown age counts as exactly this old, so
+/// it is used.
 constexpr Millis kMaxEndpointsAge = 24 * 3600e3;
 /// Stored latency ratios older than this are not used.
 constexpr Millis kMaxLatencyRatioAge = 60e3;
 
-/// What an earlier run has left.
+/// The state that the previous run stored.
 struct RecoveredState {
-    std::optional<nlohmann::json> last_known_good;  // configuration, as a version's document
-    std::string file;                               // document of the file when it was last accepted
-    std::deque<ConfigVersions::Entry> versions;     // that a rollback may return to
-    std::uint64_t next_version = 1;                 // no earlier version has this number or a higher one
-    bool canary_interrupted = false;                // it was under way at the end; it is not last_known_good
+    std::optional<nlohmann::json> last_known_good;  // document of the configuration's version
+    std::string file;                               // the file's document when the file was last accepted
+    std::deque<ConfigVersions::Entry> versions;     // targets of a rollback, oldest first
+    std::uint64_t next_version = 1;                 // higher than the number of every earlier version
+    bool canary_interrupted = false;  // the run ended during a canary, whose version is not last_known_good
     std::optional<EndpointList> endpoints;
-    std::string discovery;                         // address that they came from
-    std::vector<NamedEndpointSnapshot> snapshots;  // aged
-    bool crash_loop = false;  // the state was set aside: several runs in a row ended early
+    std::string discovery;                         // address:port of the discovery that sent the endpoints
+    std::vector<NamedEndpointSnapshot> snapshots;  // adjusted to the time of the recovery
+    bool crash_loop = false;  // several consecutive runs ended early, so the state has been quarantined
 };
 
 class StateStore {
 public:
-    /// After so many early ends in a row the state is set aside.
+    /// The state is quarantined after this number of consecutive runs that ended early.
     static constexpr int kMaxShortRuns = 3;
     using Now = std::function<Timestamps()>;
 
-    /// Never null. A store that can't open its folder stores nothing and logs why.
+    /// Never returns null. A store that can't open its folder stores nothing and logs the reason.
     static std::unique_ptr<StateStore> open(const std::string& path);
     StateStore(std::shared_ptr<storage::Directory> folder, Now now);
 
-    /// To be called once and first. Blocks on the disk.
+    /// Reads the stored state and counts this start. Called once, before any other method. Blocks on the
+    /// disk.
     RecoveredState recover();
 
-    /// `file`: document of the file when it was last accepted.
+    /// `file`: the file's document when the file was last accepted.
     void save_config(const ConfigVersions& versions, const std::string& file);
-    /// Writes only if something but the passing of time has changed.
+    /// Writes nothing if the new record has the same endpoints_record_identity() as the last one.
     void save_endpoints(const EndpointList& list, const std::string& discovery,
                         const std::vector<NamedEndpointSnapshot>& snapshots);
-    /// This run was long enough, or ended as planned: it does not count towards a crash loop.
+    /// Resets the count of short runs. Called when this run has lasted long enough or ends as planned, so
+    /// that the run does not count towards a crash loop.
     void confirm_stable_uptime();
 
     bool usable() const { return unusable_reason_.empty() && writer_; }
@@ -61,7 +65,7 @@
     storage::BackgroundWriter::Counts counts() const {
         return writer_ ? writer_->counts() : storage::BackgroundWriter::Counts();
     }
-    /// Whether everything submitted is on the disk.
+    /// Whether all submitted records are on the disk.
     bool settled() const { return !writer_ || writer_->settled(std::chrono::milliseconds(0)); }
 
 private:
@@ -74,8 +78,8 @@
     std::shared_ptr<storage::Directory> folder_;
     Now now_;
     std::shared_ptr<storage::RecordStore> store_;
-    std::unique_ptr<storage::BackgroundWriter> writer_;  // uses store_ on its own thread from recover() on
-    std::string last_endpoints_;                         // identity of the record last submitted
+    std::unique_ptr<storage::BackgroundWriter> writer_;  // created by recover(); uses store_ on its thread
+    std::string last_endpoints_;                         // identity of the endpoints record last submitted
     std::string last_config_;
     std::string unusable_reason_;
 };
--- a/src/recovery/timestamps.cpp
+++ b/src/recovery/timestamps.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// Clocks of one machine agree within this.
+// Clocks of one machine differ by less than this.
 constexpr Millis kClockTolerance = 1000;
 
 Millis read_clock(clockid_t clock) {
@@ -31,7 +31,7 @@
         if (elapsed < -kClockTolerance) return {};
         return std::max(0.0, elapsed);
     }
-    // Another boot: what was written before it is at least as old as it is.
+    // The machine has been rebooted since, so the record is at least as old as the present boot.
     const Millis elapsed = now.wall - then.wall;
     if (!(elapsed >= -kClockTolerance)) return {};
     return std::max({0.0, elapsed, now.uptime});
--- a/src/simulator/action_writer.cpp
+++ b/src/simulator/action_writer.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// One overload per action: the words on the left of each line are the simulator's.
+// Has one overload for each action. The names and fields in quotes are those of the simulator's protocol.
 class ActionWriter {
 public:
     ActionWriter(std::string& reply, Instance& instance) : reply_(reply), instance_(instance) {}
--- a/src/simulator/action_writer.hpp
+++ b/src/simulator/action_writer.hpp
@@ -11,11 +11,11 @@
 
 namespace ochregrade::wire {
 
-/// Appends the line for `action` to `reply` and counts what it starts or ends in `instance` (attempts in
-/// flight, requests). PublishEvidence writes nothing: this protocol carries no shared evidence.
+/// Appends the line for `action` to `reply` and updates the attempts in flight and the requests of
+/// `instance`. PublishEvidence writes nothing, because the protocol does not carry shared evidence.
 void write_action(std::string& reply, Instance& instance, const Action& action);
 
-/// Appends a FAULT line: the instance of this name could not start or could not handle an event.
+/// Appends a FAULT line, which reports that the instance of this name could not start or handle an event.
 void write_fault(std::string& reply, std::string_view instance_name, std::string_view reason);
 
 }  // namespace ochregrade::wire
--- a/src/simulator/balancer_host.cpp
+++ b/src/simulator/balancer_host.cpp
@@ -86,7 +86,8 @@
     (this->*handler)(instance->second, message);
 }
 
-// A later simulator may send kinds of events that this version doesn't know: they are no error.
+// Newer simulators may send kinds of events that this version does not support. Such an event is not an
+// error.
 void BalancerHost::report_unknown_kind(std::string_view kind) {
     if (std::find(unknown_kinds_.begin(), unknown_kinds_.end(), kind) != unknown_kinds_.end()) return;
     unknown_kinds_.emplace_back(kind);
@@ -174,7 +175,7 @@
     dispatch(instance, arrived);
 }
 
-// This and the following events may name a request that the instance has ended meanwhile: they are skipped.
+// This event and the following events are skipped if they name a request that the instance has already ended.
 void BalancerHost::response_started(Instance& instance, const Message& message) {
     const std::optional<RequestId> request = find_id(instance.request_ids, message.text("rid"));
     const auto attempt = static_cast<std::uint32_t>(message.integer("hop"));
--- a/src/simulator/balancer_host.hpp
+++ b/src/simulator/balancer_host.hpp
@@ -1,9 +1,9 @@
 /// @file
-/// Hosts many balancer instances behind the simulator's text protocol: reads batches of events, hands each to
-/// the instance that it names, and answers every batch with that batch's actions.
+/// Hosts many balancer instances behind the simulator's text protocol. The host reads batches of events,
+/// passes each event to the instance that the event names, and writes the resulting actions after each batch.
 ///
-/// A batch opens with MARK (the time in ms and a frame number) and closes with OVER_TO_YOU; the answer closes
-/// with END. Nothing here decides anything: see src/balancer for the decisions.
+/// A batch starts with MARK (the time in ms and a frame number) and ends with OVER_TO_YOU; the output for a
+/// batch ends with END. The host makes no load-balancing decisions; src/balancer makes them.
 #pragma once
 
 #include <array>
@@ -19,7 +19,7 @@
 
 namespace ochregrade::wire {
 
-/// One endpoint of a catalog, as the simulator describes it.
+/// One endpoint of a catalog. A catalog is an endpoint list of the simulator.
 struct CatalogEntry {
     std::string endpoint;
     std::string zone;
@@ -33,8 +33,8 @@
 public:
     BalancerHost(std::istream& in, std::ostream& out, std::ostream& err);
 
-    /// Runs until the end of input. Returns the process's exit status: 0, or 2 after malformed input, of
-    /// which one line on `err` tells the place.
+    /// Runs until the end of input. Returns the process's exit status: 0, or 2 after malformed input. One
+    /// line on `err` then names the line, message and field.
     int run();
 
 private:
@@ -62,7 +62,7 @@
     void probe_ended(Instance& instance, const Message& message);
     void gossip_received(Instance& instance, const Message& message);
 
-    /// Gives the event to the instance's balancer and writes the actions that follow from it.
+    /// Passes the event to the instance's balancer and writes the resulting actions.
     void dispatch(Instance& instance, const Event& event);
 
     std::istream& in_;
@@ -70,11 +70,11 @@
     std::ostream& err_;
     std::size_t line_number_ = 0;
     Millis now_ = 0;
-    std::string reply_;  // of the batch under way
+    std::string reply_;  // output for the current batch
     std::array<std::vector<CatalogEntry>, 16> catalogs_;
     std::map<std::string, Instance, std::less<>> instances_;
-    std::vector<std::string> unknown_kinds_;  // reported already
-    std::vector<Action> actions_;             // kept for its memory
+    std::vector<std::string> unknown_kinds_;  // each kind is reported once
+    std::vector<Action> actions_;             // of one event; a member so that its memory is reused
 };
 
 }  // namespace ochregrade::wire
--- a/src/simulator/instance.hpp
+++ b/src/simulator/instance.hpp
@@ -1,8 +1,10 @@
 /// @file
-/// One balancer instance and the names behind the integers that the balancer sees.
+/// One balancer instance, and the names of the requests and endpoints that the balancer refers to by
+/// integers.
 ///
-/// A request's name is kept until the request has ended and its attempts have; an endpoint's while it is
-/// listed or an attempt on it is in flight. So memory is bounded by what is in flight.
+/// The instance stores a request until the request and all its attempts have ended, and an endpoint while it
+/// is listed or has an attempt in flight. Memory is therefore bounded by the endpoint list and the attempts
+/// in flight.
 #pragma once
 
 #include <cstdint>
@@ -27,16 +29,16 @@
         bool listed = false;
     };
 
-    /// Throws std::invalid_argument where the settings are ones that the balancer does not accept.
+    /// Throws std::invalid_argument if the balancer rejects the settings.
     Instance(std::string instance_name, InstanceConfig instance_config, std::uint64_t seed);
 
-    /// The id of the endpoint of this name, which is known from now on.
+    /// Returns the id of the endpoint of this name, which is added if it is new.
     EndpointId endpoint_for(const std::string& endpoint_name);
 
     void end_request(RequestId id);
-    /// Forgets a request that has ended and has no attempt in flight.
+    /// Erases a request that has ended and has no attempt in flight.
     void forget_request_if_done(RequestId id);
-    /// Forgets an endpoint that is neither listed nor has an attempt in flight.
+    /// Erases an endpoint that is not listed and has no attempt in flight.
     void forget_endpoint_if_unused(EndpointId id);
     void forget_unused_endpoints();
 
--- a/src/simulator/instance_config.hpp
+++ b/src/simulator/instance_config.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What a START message says about one balancer instance: its settings, and the names behind the integers
-/// that the library uses for zones and request classes.
+/// The configuration of one balancer instance, read from a START message: the settings, and the names of the
+/// zones and request classes that the library refers to by integers.
 #pragma once
 
 #include <string>
@@ -17,12 +17,12 @@
     std::vector<std::string> zones;    ///< by ZoneId
     std::vector<std::string> classes;  ///< by class index
 
-    /// The zone's id; a name not met before gets the next number.
+    /// Returns the zone's id. A new name gets the next number.
     ZoneId zone_id(std::string_view name);
 };
 
-/// Reads a START message. Fields it doesn't know are ignored; throws WireError for malformed ones. Whether
-/// the settings make sense is the balancer's to check.
+/// Reads a START message. Unknown fields are ignored. Throws WireError for missing or malformed fields. The
+/// values of the settings are validated by the constructor of Balancer.
 InstanceConfig read_instance_config(const Message& start);
 
 }  // namespace ochregrade::wire
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// ochregrade_adapter: the process that the simulator starts. Its protocol is on standard input and output.
+/// ochregrade_adapter: the process that the simulator starts. It uses the simulator's text protocol on
+/// standard input and output.
 #include <iostream>
 
 #include "simulator/balancer_host.hpp"
--- a/src/simulator/message.cpp
+++ b/src/simulator/message.cpp
@@ -14,7 +14,7 @@
     return error == std::errc() && end == text.data() + text.size();
 }
 
-// Takes what stands before the first space off `text`, and the space.
+// Removes the characters before the first space, and that space, from `text`. Returns the characters.
 std::string_view take_token(std::string_view& text) {
     const auto space = text.find(' ');
     const std::string_view token = text.substr(0, space);
--- a/src/simulator/message.hpp
+++ b/src/simulator/message.hpp
@@ -1,8 +1,8 @@
 /// @file
-/// One line of the simulator's text protocol, taken apart: `KIND name=value name=value ...`.
+/// Parses one line of the simulator's text protocol: `KIND name=value name=value ...`.
 ///
-/// Input is a line without its line feed; output is typed access to its fields. Every error is a WireError
-/// that names line number, message kind and field. Nothing here knows what a message means.
+/// The input is a line without its line feed; the output is typed access to the fields. Every error is a
+/// WireError that names line number, message kind and field. The parser does not interpret messages.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +19,7 @@
     using std::runtime_error::runtime_error;
 };
 
-/// The kind of one message and its fields. Refers to the line's text, which must outlive it.
+/// The kind and the fields of one message. The object refers to the line's text, which must outlive it.
 class Message {
 public:
     /// Throws WireError for an empty line or a field that is not `name=value`.
@@ -28,7 +28,8 @@
     std::string_view kind() const { return kind_; }
     bool has(std::string_view field) const { return find(field) != nullptr; }
 
-    // Each of these throws WireError where the field is missing (unless a fallback is given) or malformed.
+    // These functions throw WireError if the field is malformed, or if it is missing and there is no
+    // fallback.
     std::string_view text(std::string_view field) const;
     double number(std::string_view field) const;  ///< finite
     double number_or(std::string_view field, double fallback) const;
--- a/src/simulator/vocabulary.hpp
+++ b/src/simulator/vocabulary.hpp
@@ -1,7 +1,8 @@
 /// @file
-/// The simulator's words for the library's enumerations. This is the only place where they are translated.
+/// Translates the simulator's names of enumeration values to the library's enumerations.
 ///
-/// Each function reads one field of a message and throws WireError where it is missing or an unknown word.
+/// Each function reads one field of a message and throws WireError if the field is missing or its value is
+/// unknown.
 #pragma once
 
 #include <string_view>
