--- a/src/common/environment.hpp
+++ b/src/common/environment.hpp
@@ -8,7 +8,7 @@
 namespace ochregrade::sidecar {
 
 /// The value of OCHREGRADE_<name>, else of COBALTSHIFT_<name>; null if neither is set.
-inline const char* own_variable(const std::string& name) {
+inline const char* environment_variable(const std::string& name) {
     if (const char* value = std::getenv(("OCHREGRADE_" + name).c_str())) return value;
     return std::getenv(("COBALTSHIFT_" + name).c_str());
 }
--- a/src/common/trace.cpp
+++ b/src/common/trace.cpp
@@ -14,7 +14,8 @@
 
 namespace {
 
-constexpr std::size_t kMaxTraceBytes = 64 << 20;  // the file may be on a memory file system
+constexpr std::size_t kMaxTraceBytes =
+    64 << 20;  // limits the memory used if the file is on a memory file system
 
 template <class Clock>
 double milliseconds() {
@@ -24,7 +25,7 @@
 class TraceFile {
 public:
     TraceFile() {
-        const char* path = own_variable("TRACE");
+        const char* path = environment_variable("TRACE");
         if (!path || !*path) return;
         try {
             file_ = std::make_unique<spdlog::logger>(
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -194,11 +194,11 @@
 bool DiscoveryClient::sequence_restarted(const EndpointList& list) {
     if (!list.complete) return false;
     const auto now = std::chrono::steady_clock::now();
-    const bool lasting =
+    const bool confirmed =
         lower_since_ && list.seq >= lower_seq_ && now - *lower_since_ >= kRestartConfirmation;
     if (!lower_since_ || list.seq < lower_seq_) lower_since_ = now;
     lower_seq_ = list.seq;
-    if (!claimed_by_others(list) && !lasting) return false;
+    if (!claimed_by_others(list) && !confirmed) return false;
     ++incarnation_;
     log_line("discovery restarted its sequence: list " + std::to_string(list.seq) + " after " +
              std::to_string(seq_));
@@ -212,7 +212,7 @@
 }
 
 // Discards the failed call. Returns false if the call has been cancelled already.
-bool DiscoveryClient::drop_failed(const CallPtr& call, const std::string& reason) {
+bool DiscoveryClient::discard_call(const CallPtr& call, const std::string& reason) {
     if (call_ != call) return false;
     log_line("discovery: " + reason);
     if (tracing()) trace_event("discovery_call_failed", {{"why", reason}, {"whole", call->complete}});
@@ -224,7 +224,7 @@
 // A call without a response leaves the current list as it is. The next call therefore requests only the
 // changes since that list: it misses no change and costs discovery less than the complete list.
 void DiscoveryClient::handle_call_failure(const CallPtr& call, const std::string& reason) {
-    if (!drop_failed(call, reason)) return;
+    if (!discard_call(call, reason)) return;
     if (!polled_) return retry_soon();
     active_ = false;
     fetch_requested_ = false;
@@ -234,7 +234,7 @@
 // A timeout has already taken longer than any pause. If the owner of a polled client added its pause to the
 // timeout, the next call might not be notified of a change in time.
 void DiscoveryClient::call_timed_out(const CallPtr& call, const std::string& reason) {
-    if (drop_failed(call, reason)) retry_soon();
+    if (discard_call(call, reason)) retry_soon();
 }
 
 void DiscoveryClient::retry_soon() {
--- a/src/discovery/discovery_client.hpp
+++ b/src/discovery/discovery_client.hpp
@@ -62,7 +62,7 @@
     bool sequence_restarted(const EndpointList& list);
     bool claimed_by_others(const EndpointList& list) const;
     void cancel_call();
-    bool drop_failed(const CallPtr& call, const std::string& reason);
+    bool discard_call(const CallPtr& call, const std::string& reason);
     void handle_call_failure(const CallPtr& call, const std::string& reason);
     void response_invalid(const CallPtr& call, const std::string& reason);
     void call_timed_out(const CallPtr& call, const std::string& reason);
--- a/src/recovery/start_plan.cpp
+++ b/src/recovery/start_plan.cpp
@@ -100,7 +100,7 @@
     } catch (const ConfigError& error) {
         file.error = error;
     }
-    if (const char* path = own_variable("STATE_DIR"); path && *path) file.state_directory = path;
+    if (const char* path = environment_variable("STATE_DIR"); path && *path) file.state_directory = path;
     return file;
 }
 
@@ -123,7 +123,7 @@
 
 Start prepare_start() {
     const FileResult file = read_file();
-    const bool may_recover = !file.error || is_enabled(own_variable("LAST_KNOWN_GOOD"));
+    const bool may_recover = !file.error || is_enabled(environment_variable("LAST_KNOWN_GOOD"));
     std::unique_ptr<StateStore> store;
     RecoveredState recovered;
     if (!file.state_directory.empty() && may_recover) {
