--- a/tests/common/log_test.cpp
+++ b/tests/common/log_test.cpp
@@ -1,4 +1,4 @@
-// The log: one JSON object a line whatever the message, and a bounded rate.
+// Tests that each line of the log is a JSON object for any message, and that the rate of lines is bounded.
 #include "common/log.hpp"
 
 #include <gtest/gtest.h>
@@ -12,17 +12,17 @@
 
 namespace {
 
-// Redirects standard error into a file while it exists, and reads the lines written meanwhile.
-class Captured {
+// Redirects standard error into a file while the object exists, and returns the lines written to that file.
+class CapturedStderr {
 public:
-    Captured() : path_("log-test-" + std::to_string(::getpid())) {
+    CapturedStderr() : path_("log-test-" + std::to_string(::getpid())) {
         std::fflush(stderr);
         saved_ = ::dup(2);
         std::FILE* file = std::fopen(path_.c_str(), "w");
         ::dup2(::fileno(file), 2);
         std::fclose(file);
     }
-    ~Captured() { std::remove(path_.c_str()); }
+    ~CapturedStderr() { std::remove(path_.c_str()); }
     std::vector<std::string> lines() {
         ochregrade::sidecar::log_sink().flush();
         ::dup2(saved_, 2);
@@ -38,8 +38,8 @@
     int saved_ = -1;
 };
 
-TEST(Log, EachLineIsAJsonObjectWhateverTheMessageHolds) {
-    Captured captured;
+TEST(Log, EachLineIsAJsonObjectForAnyMessage) {
+    CapturedStderr captured;
     ochregrade::sidecar::log_line("a peer said \"all dead\" \\ and\nmore\x01");
     ochregrade::sidecar::log_line(std::string("bytes \xff\xfe that are no UTF-8"));
     const auto lines = captured.lines();
@@ -52,17 +52,17 @@
     EXPECT_TRUE(nlohmann::json::accept(lines[1]));
 }
 
-TEST(Log, ABurstIsCutAndWhatWasLeftOutIsSaid) {
-    Captured captured;
+TEST(Log, ExcessLinesAreDroppedAndCounted) {
+    CapturedStderr captured;
     for (int i = 0; i < 1000; ++i) ochregrade::sidecar::log_line("line " + std::to_string(i));
     const auto lines = captured.lines();
-    // The allowance is 100 lines and 2 a second; the test's earlier lines took some of it.
+    // The limit is a burst of 100 lines and then 2 lines a second. Earlier tests have used some of the burst.
     EXPECT_LE(lines.size(), 105u);
     EXPECT_GE(lines.size(), 50u);
-    Captured again;
-    ::usleep(600 * 1000);  // one more line's worth of allowance
+    CapturedStderr later_capture;
+    ::usleep(600 * 1000);  // long enough for one more token
     ochregrade::sidecar::log_line("after");
-    const auto later = again.lines();
+    const auto later = later_capture.lines();
     ASSERT_GE(later.size(), 2u);
     EXPECT_NE(nlohmann::json::parse(later[0]).at("msg").get<std::string>().find("lines left out"),
               std::string::npos);
--- a/tests/discovery/discovery_client_test.cpp
+++ b/tests/discovery/discovery_client_test.cpp
@@ -1,4 +1,4 @@
-// Calls to discovery: watches, failed calls, and a change of its address.
+// Tests the calls to discovery: long polls, failed calls, and a change of discovery's address.
 #include "discovery/discovery_client.hpp"
 
 #include "support/stepped_sidecar.hpp"
@@ -15,31 +15,31 @@
     EXPECT_EQ(discovery.wait_for(2).at(1), "/v1/servers");
     discovery.say(4, true, {});  // older than the current list
     discovery.wait_for(3);
-    discovery.say("");  // discovery ends the connection
+    discovery.say("");  // discovery closes the connection
     EXPECT_EQ(discovery.wait_for(4).at(3), "/v1/servers");
     discovery.say(9, true, {host("s2", server.at())});
     EXPECT_EQ(discovery.wait_for(5).at(4), "/v1/servers?after=9&wait_ms=");
     App app(sidecar.at);
     const auto start =
-        std::chrono::steady_clock::now();  // the next call is made just before the list is applied
+        std::chrono::steady_clock::now();  // the client starts the next call just before it applies the list
     while (app.ask(App::request("listen")).result_int() != 200u) ASSERT_LT(seconds_since(start), 30);
 }
 
-// After a call without an answer the changes since the current list are enough. Calls for the whole list from
-// each of many sidecars would keep an overloaded discovery down.
+// After a call without a response the client requests only the changes since the current list. If each of
+// many sidecars requested the complete list, an overloaded discovery could not recover.
 TEST(DiscoveryClient, RequestsOnlyChangesAfterFailedCall) {
     FakeDiscovery discovery;
     Running sidecar(a_config(discovery.at(), {host("s1", kNoAddress)}));
     EXPECT_EQ(discovery.wait_for(1).at(0), "/v1/servers?after=5&wait_ms=");
-    discovery.say("");  // discovery ends the connection
+    discovery.say("");  // discovery closes the connection
     EXPECT_EQ(discovery.wait_for(2).at(1), "/v1/servers?after=5&wait_ms=");
     discovery.say(6, false, {host("s2", kNoAddress)});
     discovery.say("");
     EXPECT_EQ(discovery.wait_for(4).at(3), "/v1/servers?after=6&wait_ms=");
 }
 
-// A whole list that takes longer than a connection is waited for: a retry would discard the work that
-// discovery has already done on it.
+// The client waits for a complete list even if it takes longer than the connect timeout: a retry would
+// discard the work that discovery has already done on the list.
 TEST(DiscoveryClient, WaitsForSlowFullList) {
     FakeDiscovery discovery;
     json config = a_config(discovery.at(), {});
@@ -48,13 +48,15 @@
     EXPECT_EQ(discovery.wait_for(1).at(0), "/v1/servers");
     std::this_thread::sleep_for(std::chrono::milliseconds(2500));  // longer than the connect timeout
     discovery.say(1, true, {host("s1", kNoAddress)});
-    EXPECT_EQ(discovery.wait_for(2).at(1), "/v1/servers?after=1&wait_ms=") << "it was waited for";
+    EXPECT_EQ(discovery.wait_for(2).at(1), "/v1/servers?after=1&wait_ms=")
+        << "the first call was not retried";
 }
 
-// A watch that stalls looks like one without changes. Its wait_ms bounds how old the list may get: with the
-// call's timeout, a pause and one more call it must end before the protocol counts the change as notified.
+// A long poll that has stalled looks like one without changes, and its wait_ms bounds how old the list may
+// get. The wait, the timeout beyond it, a pause and one more call must together end within the 6 s after
+// which the protocol counts the sidecar as notified of a change.
 TEST(DiscoveryClient, ReopensStalledWatchBeforeListIsTooOld) {
-    constexpr int kCountsAsNotified = 6000, kBeyondWait = 2000, kLongestPause = 1500;
+    constexpr int kNotifiedWithinMs = 6000, kTimeoutBeyondWaitMs = 2000, kMaxPauseMs = 1500;
     FakeServer server;
     FakeDiscovery discovery;
     Running sidecar(a_config(discovery.at(), {host("s1", kNoAddress)}));
@@ -67,12 +69,12 @@
     discovery.say(7, false, {});
     discovery.wait_for(4);
     const std::vector<int> waits = discovery.waits();
-    for (const int wait : waits) EXPECT_LE(wait, kCountsAsNotified - kBeyondWait - kLongestPause);
-    EXPECT_NE(waits[1], waits[2]) << "many sidecars' calls must not stay in step";
+    for (const int wait : waits) EXPECT_LE(wait, kNotifiedWithinMs - kTimeoutBeyondWaitMs - kMaxPauseMs);
+    EXPECT_NE(waits[1], waits[2]) << "many sidecars must not make their calls at the same time";
 }
 
-// The new address has sequence numbers of its own, and a late answer from the old one is ignored. An
-// unreadable file changes nothing.
+// The discovery at the new address has a different sequence, and a late response from the old address is
+// ignored. A reload of an invalid configuration file changes nothing.
 TEST(DiscoveryClient, FollowsAddressChangeAtOnce) {
     FakeServer first, second;
     FakeDiscovery old_discovery, new_discovery;
@@ -84,7 +86,8 @@
     file.write("{\"discovery\":");
     sidecar.reload();
     old_discovery.say(7, false, {});
-    EXPECT_EQ(old_discovery.wait_for(2).at(1), "/v1/servers?after=7&wait_ms=") << "the old one is kept";
+    EXPECT_EQ(old_discovery.wait_for(2).at(1), "/v1/servers?after=7&wait_ms=")
+        << "the client still calls the old address";
     config["discovery"] = new_discovery.at();
     file.write(config.dump());
     ::setenv("NODE_DISCOVERY", old_discovery.at().c_str(), 1);
@@ -102,7 +105,7 @@
     EXPECT_EQ(old_discovery.wait_for(2).size(), 2u);
 }
 
-// The address changes during the pause after a failed call.
+// A change of the address during the pause after a failed call ends the pause.
 TEST(DiscoveryClient, CallsNewAddressAtOnceDuringPause) {
     asio::io_context io(1);
     FakeDiscovery new_discovery;
@@ -118,11 +121,11 @@
     io.restart();
     io.run_for(kPatience);
     EXPECT_TRUE(received);
-    new_discovery.wait_for(2);  // the watch continues there
+    new_discovery.wait_for(2);  // the long polls continue at the new address
 }
 
-// The pause after a rejected call protects an overloaded discovery. After a watch that stalled it would only
-// make the list older.
+// The pause after a failed call protects an overloaded discovery. After a long poll that has stalled, a pause
+// would only make the list older.
 TEST(DiscoveryClient, RepeatsTimedOutCallWithoutReportingFailure) {
     asio::io_context io(1);
     FakeDiscovery silent;
