--- a/src/simulator/balancer_host.cpp
+++ b/src/simulator/balancer_host.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr int kMalformedInput = 2;  // exit status
+constexpr int kExitMalformedInput = 2;  // exit status
 
 template <class Id>
 std::optional<Id> find_id(const std::unordered_map<std::string, Id>& ids, std::string_view name) {
@@ -46,7 +46,7 @@
         }
     } catch (const WireError& error) {
         err_ << "ochregrade_adapter: " << error.what() << '\n';
-        return kMalformedInput;
+        return kExitMalformedInput;
     }
     return 0;
 }
@@ -150,13 +150,13 @@
     if (update.kind != EndpointUpdateKind::incremental)
         for (auto& [id, endpoint] : instance.endpoints) endpoint.listed = false;
     for (const CatalogEntry& entry : entries) {
-        const EndpointId id = instance.endpoint_for(entry.endpoint);
+        const EndpointId id = instance.find_or_add_endpoint(entry.endpoint);
         instance.endpoints[id].listed = entry.state != EndpointState::gone;
-        update.endpoints.push_back({id, instance.config.zone_id(entry.zone), entry.cell, entry.state,
+        update.endpoints.push_back({id, instance.config.find_or_add_zone(entry.zone), entry.cell, entry.state,
                                     entry.started_at, entry.capacity_weight});
     }
     dispatch(instance, update);
-    instance.forget_unused_endpoints();
+    instance.erase_unused_endpoints();
 }
 
 void BalancerHost::request_arrived(Instance& instance, const Message& message) {
@@ -203,11 +203,11 @@
     if (request.attempts_in_flight > 0) --request.attempts_in_flight;
     if (ended.request_ended) request.ended = true;
     dispatch(instance, ended);
-    instance.forget_request_if_done(ended.id);
+    instance.erase_request_if_ended(ended.id);
     if (!endpoint_id) return;
     Instance::KnownEndpoint& endpoint = instance.endpoints.at(*endpoint_id);
     if (endpoint.attempts_in_flight > 0) --endpoint.attempts_in_flight;
-    instance.forget_endpoint_if_unused(*endpoint_id);
+    instance.erase_endpoint_if_unused(*endpoint_id);
 }
 
 void BalancerHost::timer_fired(Instance& instance, const Message& message) {
--- a/src/simulator/instance.hpp
+++ b/src/simulator/instance.hpp
@@ -33,14 +33,14 @@
     Instance(std::string instance_name, InstanceConfig instance_config, std::uint64_t seed);
 
     /// Returns the id of the endpoint of this name, which is added if it is new.
-    EndpointId endpoint_for(const std::string& endpoint_name);
+    EndpointId find_or_add_endpoint(const std::string& endpoint_name);
 
     void end_request(RequestId id);
     /// Erases a request that has ended and has no attempt in flight.
-    void forget_request_if_done(RequestId id);
+    void erase_request_if_ended(RequestId id);
     /// Erases an endpoint that is not listed and has no attempt in flight.
-    void forget_endpoint_if_unused(EndpointId id);
-    void forget_unused_endpoints();
+    void erase_endpoint_if_unused(EndpointId id);
+    void erase_unused_endpoints();
 
     std::string name;
     InstanceConfig config;
--- a/src/simulator/instance_config.cpp
+++ b/src/simulator/instance_config.cpp
@@ -61,7 +61,7 @@
 
 }  // namespace
 
-ZoneId InstanceConfig::zone_id(std::string_view name) {
+ZoneId InstanceConfig::find_or_add_zone(std::string_view name) {
     const auto position = std::find(zones.begin(), zones.end(), name);
     const auto id = static_cast<ZoneId>(position - zones.begin());
     if (position == zones.end()) zones.emplace_back(name);
@@ -72,7 +72,7 @@
     InstanceConfig config;
     Settings& settings = config.settings;
     if (start.has("azs")) config.zones = split_at_commas(start.text("azs"));
-    if (start.has("my-zone")) settings.local_zone = config.zone_id(start.text("my-zone"));
+    if (start.has("my-zone")) settings.local_zone = config.find_or_add_zone(start.text("my-zone"));
     read_classes(start, config);
     if (start.has("membership-mode"))
         settings.polled_discovery = start.text("membership-mode") == "on_request";
--- a/src/simulator/instance_config.hpp
+++ b/src/simulator/instance_config.hpp
@@ -18,7 +18,7 @@
     std::vector<std::string> classes;  ///< by class index
 
     /// Returns the zone's id. A new name gets the next number.
-    ZoneId zone_id(std::string_view name);
+    ZoneId find_or_add_zone(std::string_view name);
 };
 
 /// Reads a START message. Unknown fields are ignored. Throws WireError for missing or malformed fields. The
--- a/src/simulator/vocabulary.cpp
+++ b/src/simulator/vocabulary.cpp
@@ -8,32 +8,32 @@
 namespace {
 
 template <class T, std::size_t N>
-using Words = std::array<std::pair<std::string_view, T>, N>;
+using EnumNames = std::array<std::pair<std::string_view, T>, N>;
 
-constexpr Words<EndpointState, 3> kEndpointStates{
+constexpr EnumNames<EndpointState, 3> kEndpointStates{
     {{"on", EndpointState::serving}, {"fading", EndpointState::draining}, {"off", EndpointState::gone}}};
-constexpr Words<EndpointUpdateKind, 4> kUpdateKinds{{{"INCREMENTAL", EndpointUpdateKind::incremental},
-                                                     {"FULL", EndpointUpdateKind::full},
-                                                     {"SAVED", EndpointUpdateKind::cached},
-                                                     {"FAILED", EndpointUpdateKind::failed}}};
-constexpr Words<Idempotency, 3> kIdempotencies{{{"repeatable", Idempotency::idempotent},
-                                                {"by_key", Idempotency::idempotent_with_key},
-                                                {"once", Idempotency::not_idempotent}}};
-constexpr Words<DedupScope, 3> kDedupScopes{
+constexpr EnumNames<EndpointUpdateKind, 4> kUpdateKinds{{{"INCREMENTAL", EndpointUpdateKind::incremental},
+                                                         {"FULL", EndpointUpdateKind::full},
+                                                         {"SAVED", EndpointUpdateKind::cached},
+                                                         {"FAILED", EndpointUpdateKind::failed}}};
+constexpr EnumNames<Idempotency, 3> kIdempotencies{{{"repeatable", Idempotency::idempotent},
+                                                    {"by_key", Idempotency::idempotent_with_key},
+                                                    {"once", Idempotency::not_idempotent}}};
+constexpr EnumNames<DedupScope, 3> kDedupScopes{
     {{"all", DedupScope::all}, {"zone", DedupScope::zone}, {"cell", DedupScope::cell}}};
-constexpr Words<Outcome, 8> kOutcomes{{{"completed", Outcome::success},
-                                       {"errored", Outcome::server_error},
-                                       {"saturated", Outcome::overloaded},
-                                       {"overdue", Outcome::timeout},
-                                       {"refused_conn", Outcome::connect_failure},
-                                       {"severed", Outcome::connection_reset},
-                                       {"recalled", Outcome::cancelled},
-                                       {"superseded", Outcome::not_sent}}};
+constexpr EnumNames<Outcome, 8> kOutcomes{{{"completed", Outcome::success},
+                                           {"errored", Outcome::server_error},
+                                           {"saturated", Outcome::overloaded},
+                                           {"overdue", Outcome::timeout},
+                                           {"refused_conn", Outcome::connect_failure},
+                                           {"severed", Outcome::connection_reset},
+                                           {"recalled", Outcome::cancelled},
+                                           {"superseded", Outcome::not_sent}}};
 
 template <class T, std::size_t N>
-T translate(const Message& message, std::string_view field, const Words<T, N>& words) {
+T read_enum(const Message& message, std::string_view field, const EnumNames<T, N>& names) {
     const std::string_view text = message.text(field);
-    for (const auto& [name, value] : words)
+    for (const auto& [name, value] : names)
         if (name == text) return value;
     message.fail(field, "is not a known word");
 }
@@ -41,23 +41,23 @@
 }  // namespace
 
 EndpointState read_endpoint_state(const Message& message, std::string_view field) {
-    return translate(message, field, kEndpointStates);
+    return read_enum(message, field, kEndpointStates);
 }
 
 EndpointUpdateKind read_update_kind(const Message& message, std::string_view field) {
-    return translate(message, field, kUpdateKinds);
+    return read_enum(message, field, kUpdateKinds);
 }
 
 Idempotency read_idempotency(const Message& message, std::string_view field) {
-    return translate(message, field, kIdempotencies);
+    return read_enum(message, field, kIdempotencies);
 }
 
 DedupScope read_dedup_scope(const Message& message, std::string_view field) {
-    return translate(message, field, kDedupScopes);
+    return read_enum(message, field, kDedupScopes);
 }
 
 Outcome read_outcome(const Message& message, std::string_view field) {
-    return translate(message, field, kOutcomes);
+    return read_enum(message, field, kOutcomes);
 }
 
 }  // namespace ochregrade::wire
--- a/tests/simulator/balancer_host_test.cpp
+++ b/tests/simulator/balancer_host_test.cpp
@@ -1,4 +1,4 @@
-// The host of balancer instances, on text as the simulator would write it.
+// Tests the host of balancer instances with input as the simulator writes it.
 #include "simulator/balancer_host.hpp"
 
 #include <gtest/gtest.h>
@@ -42,7 +42,7 @@
     EXPECT_EQ(run("").status, 0);
 }
 
-TEST(BalancerHost, ARequestGoesOutAndComesBack) {
+TEST(BalancerHost, AnAcceptedRequestIsDispatched) {
     const Result result = run(kOpening + mark(2, 1010) + kAccept + kOverToYou);
     EXPECT_EQ(result.status, 0) << result.err;
     EXPECT_NE(result.out.find("DISPATCH who=sidecar-3 rid=r-1 server=server_"), std::string::npos)
@@ -51,14 +51,14 @@
     EXPECT_NE(result.out.find("END frame=2\n"), std::string::npos);
 }
 
-TEST(BalancerHost, VerdictLeadsToAnotherAttemptElsewhere) {
+TEST(BalancerHost, AFailedAttemptIsRetriedAtAnotherEndpoint) {
     const Result first = run(kOpening + mark(2, 1010) + kAccept + kOverToYou);
     const bool first_is_a = first.out.find("server=server_a") != std::string::npos;
-    const std::string sent = first_is_a ? "server_a" : "server_b",
+    const std::string failed = first_is_a ? "server_a" : "server_b",
                       other = first_is_a ? "server_b" : "server_a";
     const Result result =
         run(kOpening + mark(2, 1010) + kAccept + kOverToYou + mark(3, 1020) +
-            "VERDICT who=sidecar-3 rid=r-1 server=" + sent +
+            "VERDICT who=sidecar-3 rid=r-1 server=" + failed +
             " duration-ms=10 rc=refused_conn hop=0 metrics=active:3,cpu:0.5\n" + kOverToYou);
     EXPECT_NE(result.out.find("DISPATCH who=sidecar-3 rid=r-1 server=" + other), std::string::npos)
         << result.out;
@@ -72,19 +72,19 @@
     EXPECT_NE(result.out.find("server=server_c"), std::string::npos) << result.out;
 }
 
-TEST(BalancerHost, RestartWithinABatchForgetsEverything) {
+TEST(BalancerHost, RestartWithinABatchClearsTheInstance) {
     const Result result = run(kOpening + mark(2) + kAccept + "POWER_OFF who=sidecar-3\n" + kStartLine +
                               kCachedList + kAccept + kOverToYou);
     EXPECT_EQ(result.status, 0) << result.err;
 }
 
-TEST(BalancerHost, InstancesAreKeptApart) {
+TEST(BalancerHost, InstancesHaveSeparateEndpointLists) {
     std::string other = kStartLine;
     other.replace(other.find("sidecar-3"), 9, "sidecar-9");
     const Result result = run(mark(1) + kStartLine + other + kCatalog + kCachedList + kOverToYou + mark(2) +
                               "ACCEPT who=sidecar-9 rid=r-9 grade=listen time-left-ms=240\n" + kOverToYou);
     EXPECT_EQ(result.status, 0);
-    EXPECT_EQ(result.out.find("DISPATCH"), std::string::npos) << "sidecar-9 was told no list";
+    EXPECT_EQ(result.out.find("DISPATCH"), std::string::npos) << "sidecar-9 has received no endpoint list";
 }
 
 TEST(BalancerHost, StaleEventsAndUnknownKindsAreSkipped) {
@@ -98,7 +98,7 @@
     EXPECT_NE(result.err.find("NOVELTY"), std::string::npos);
 }
 
-TEST(BalancerHost, MalformedInputEndsWithOneLineThatNamesThePlace) {
+TEST(BalancerHost, MalformedInputIsReportedInOneLineWithItsPosition) {
     const auto error_of = [](const std::string& text) {
         const Result result = run(text);
         EXPECT_NE(result.status, 0) << text;
@@ -128,15 +128,15 @@
     expect_part(error_of("OVER_TO_YOU\n"), "MARK");
 }
 
-TEST(BalancerHost, SettingsThatMakeNoSenseBecomeAFault) {
-    std::string bad = kStartLine;
-    bad.replace(bad.find("rules.cold-from=0.16"), 20, "rules.cold-from=1.60");
-    const Result result = run(mark(1) + bad + kOverToYou);
+TEST(BalancerHost, InvalidSettingsAreReportedAsAFault) {
+    std::string invalid = kStartLine;
+    invalid.replace(invalid.find("rules.cold-from=0.16"), 20, "rules.cold-from=1.60");
+    const Result result = run(mark(1) + invalid + kOverToYou);
     EXPECT_NE(result.out.find("FAULT who=sidecar-3 words="), std::string::npos) << result.out;
     EXPECT_NE(result.out.find("slow_start_least_share"), std::string::npos) << result.out;
 }
 
-TEST(BalancerHost, AMegabyteLongBatchIsAnsweredWhole) {
+TEST(BalancerHost, AMegabyteLongBatchIsProcessedCompletely) {
     std::string batch = kOpening + mark(2);
     for (int i = 0; i < 20000; ++i)
         batch += "ACCEPT who=sidecar-3 rid=long-" + std::to_string(i) + " grade=deposit time-left-ms=500\n";
--- a/tests/simulator/instance_config_test.cpp
+++ b/tests/simulator/instance_config_test.cpp
@@ -1,4 +1,4 @@
-// Settings and names of an instance, read from a START message.
+// Tests the settings and names of an instance that are read from a START message.
 #include "simulator/instance_config.hpp"
 
 #include <gtest/gtest.h>
@@ -31,7 +31,7 @@
     EXPECT_TRUE(config.settings.gossip_allowed);
     EXPECT_EQ(config.settings.sidecar_index, 4U);
     EXPECT_EQ(config.settings.sidecar_count, 9U);
-    EXPECT_FALSE(read_instance_config(Message(line, 1)).settings.gossip_allowed) << "not allowed unless said";
+    EXPECT_FALSE(read_instance_config(Message(line, 1)).settings.gossip_allowed) << "the default";
 }
 
 }  // namespace
--- a/tests/simulator/message_test.cpp
+++ b/tests/simulator/message_test.cpp
@@ -1,4 +1,4 @@
-// One line of the simulator's text protocol, taken apart.
+// Tests the parser of one line of the simulator's text protocol.
 #include "simulator/message.hpp"
 
 #include <gtest/gtest.h>
