--- a/src/recovery/state_records.cpp
+++ b/src/recovery/state_records.cpp
@@ -9,7 +9,7 @@
 
 using nlohmann::json;
 
-// The field "seed" is required, but no random numbers are derived from the seed of a stored configuration.
+// Value of the required field "seed" for stored configurations from which no random numbers are derived.
 constexpr const char* kNoSeed = "0";
 
 json parse_text_field(const json& record, const char* field) {
@@ -18,7 +18,7 @@
 
 // Returns the document with the present name of the program's section; records of earlier versions may have
 // the section's former name.
-std::string in_present_form(const std::string& document) {
+std::string in_current_format(const std::string& document) {
     try {
         return parse_config(document, "file").dump();
     } catch (const ConfigError&) {
@@ -75,9 +75,10 @@
     const json stored = json::parse(payload);
     ConfigRecord record;
     record.last_known_good = parse_text_field(stored, "good");
-    read_stored_document(record.last_known_good, kNoSeed, nullptr);  // the same checks as for a live change
+    read_stored_document(record.last_known_good, kNoSeed,
+                         nullptr);  // throws if a live change would be rejected
     record.next_version = stored.at("next").get<std::uint64_t>();
-    record.file_document = in_present_form(stored.at("file").get<std::string>());
+    record.file_document = in_current_format(stored.at("file").get<std::string>());
     record.canary_under_way = stored.at("on_trial").get<bool>();
     for (const json& version : stored.at("kept")) record.versions.push_back(parse_version(version));
     return record;
--- a/src/storage/record_store.cpp
+++ b/src/storage/record_store.cpp
@@ -21,13 +21,13 @@
 }
 
 template <class T>
-void put(std::string& out, T value) {
+void append_number(std::string& out, T value) {
     for (std::size_t i = 0; i < sizeof value; ++i) out += static_cast<char>(value >> (8 * i) & 0xff);
 }
 
-// Removes a number from the front of `in`. Returns false if `in` has too few bytes.
+// Removes a little-endian number from the front of `in`. Returns false if `in` has too few bytes.
 template <class T>
-bool take(std::string_view& in, T& value) {
+bool consume(std::string_view& in, T& value) {
     if (in.size() < sizeof value) return false;
     value = 0;
     for (std::size_t i = 0; i < sizeof value; ++i)
@@ -35,7 +35,7 @@
     in.remove_prefix(sizeof value);
     return true;
 }
-bool take(std::string_view& in, std::uint64_t length, std::string& text) {
+bool consume(std::string_view& in, std::uint64_t length, std::string& text) {
     if (in.size() < length) return false;
     text.assign(in.substr(0, length));
     in.remove_prefix(length);
@@ -51,19 +51,19 @@
 
 std::string encode(const Record& record) {
     std::string out(kMagic);
-    put(out, kVersion);
-    put(out, static_cast<std::uint32_t>(record.kind.size()));
+    append_number(out, kVersion);
+    append_number(out, static_cast<std::uint32_t>(record.kind.size()));
     out += record.kind;
-    put(out, record.sequence);
-    put(out, static_cast<std::uint64_t>(record.payload.size()));
+    append_number(out, record.sequence);
+    append_number(out, static_cast<std::uint64_t>(record.payload.size()));
     out += record.payload;
-    put(out, crc32c(out));
+    append_number(out, crc32c(out));
     return out;
 }
 
 Decoded decode(std::string_view bytes) {
     const auto damaged = [](const char* reason) { return Decoded{{}, DecodeError::damaged, reason}; };
-    std::uint32_t version = 0, kind_length = 0, sum = 0;
+    std::uint32_t version = 0, kind_length = 0, stored_checksum = 0;
     if (bytes.empty()) return damaged("it is empty");
     if (bytes.size() < kMagic.size() + 4 || bytes.substr(0, kMagic.size()) != kMagic)
         return damaged("its header is not that of a record");
@@ -71,16 +71,16 @@
     // version.
     std::string_view end = bytes.substr(bytes.size() - 4);
     const std::string_view all = bytes.substr(0, bytes.size() - 4);
-    take(end, sum);
-    if (sum != crc32c(all)) return damaged("its checksum is wrong");
+    consume(end, stored_checksum);
+    if (stored_checksum != crc32c(all)) return damaged("its checksum is wrong");
     std::string_view in = all.substr(kMagic.size());
-    if (!take(in, version)) return damaged("it is too short");
+    if (!consume(in, version)) return damaged("it is too short");
     if (version > kVersion) return {{}, DecodeError::newer_version, "version " + std::to_string(version)};
     Decoded decoded;
     std::uint64_t length = 0;
-    if (!take(in, kind_length) || !take(in, kind_length, decoded.record.kind) ||
-        !take(in, decoded.record.sequence) || !take(in, length) ||
-        !take(in, length, decoded.record.payload) || !in.empty())
+    if (!consume(in, kind_length) || !consume(in, kind_length, decoded.record.kind) ||
+        !consume(in, decoded.record.sequence) || !consume(in, length) ||
+        !consume(in, length, decoded.record.payload) || !in.empty())
         return damaged("its length fields do not match its size");
     return decoded;
 }
