--- a/src/recovery/start_plan.cpp
+++ b/src/recovery/start_plan.cpp
@@ -55,8 +55,8 @@
         start.config.stable_uptime = stable_uptime;
         start.source = ConfigVersions::Source::recovery;
         log_line(recovered.canary_interrupted
-                     ? "state: a canary was under way when the last run ended: the last known good "
-                       "configuration is in force"
+                     ? "state: the previous run ended during a canary: the last known good configuration is "
+                       "in force"
                      : "state: the last accepted configuration is in force");
     } catch (const std::exception& error) {
         log_line(std::string("state: the last accepted configuration is not used: ") + error.what());
--- a/src/recovery/state_store.cpp
+++ b/src/recovery/state_store.cpp
@@ -86,7 +86,8 @@
     }
     state.crash_loop = starts >= kMaxShortRuns;
     if (state.crash_loop) {
-        log_line("state: not used: the last " + std::to_string(starts) + " runs ended early");
+        log_line("state: the stored state is not used: the last " + std::to_string(starts) +
+                 " runs ended early");
         for (const char* kind : {kConfigKind, kEndpointsKind})
             store_->quarantine_all(kind, "runs that used it ended early");
     }
@@ -108,7 +109,7 @@
     if (!record) return;
     const auto elapsed = age(record->written_at, now);
     if (elapsed.value_or(kMaxEndpointsAge) > kMaxEndpointsAge) {
-        log_line("state: the list of endpoints is too old to start from");
+        log_line("state: the stored endpoint list is not used: it is too old");
         return;
     }
     state.endpoints = std::move(record->list);
--- a/src/storage/record_store.cpp
+++ b/src/storage/record_store.cpp
@@ -136,13 +136,13 @@
         }
         Decoded decoded = decode(bytes);
         if (decoded.error == DecodeError::newer_version) {
-            log_(name + " is not read and left unchanged: its format is newer, " + decoded.reason);
+            log_(name + " is neither used nor changed: its format is newer, " + decoded.reason);
             continue;
         }
         const std::uint64_t sequence = parse(name)->sequence;
         const bool intact = decoded.error == DecodeError::none;
         if (intact && (decoded.record.kind != kind || decoded.record.sequence != sequence))
-            decoded.reason = "its kind or number differs from its file name";
+            decoded.reason = "its kind or sequence differs from its file name";
         else if (intact && !newest)  // older records may be valid only for an older program
             decoded.reason = validate(decoded.record);
         if (!decoded.reason.empty()) {
