--- a/bench/guarantee_rows.py
+++ b/bench/guarantee_rows.py
@@ -763,7 +763,7 @@
         "no signal kills a process that is exiting",
         [Edit(MAIN, "    mask_signals(SIG_BLOCK);  // for good", "    // for good")],
         CRASH_TESTS,
-        "PlannedStops.EndWithZeroUnderNewConfigurationsUpToTheLastMoment",
+        "PlannedStops.ExitWithZeroDuringReloads",
     ),
     Guarantee(
         "a margin in the time left that is sent on",
--- a/tests/recovery/crash_test.cpp
+++ b/tests/recovery/crash_test.cpp
@@ -1,10 +1,11 @@
-// The real program, killed while it serves and while its configuration changes, and started again.
+// Tests the program as a process: killed while it serves requests or while its configuration changes, and
+// then restarted with the state that the previous run stored.
 #include "support/process_fixture.hpp"
 
 namespace ochregrade::sidecar {
 namespace {
 
-// Clients that send requests until the object ends.
+// Three clients that send requests until stop() is called or the object is destroyed.
 class Clients {
 public:
     explicit Clients(const Fixture& fixture) {
@@ -17,7 +18,7 @@
             });
     }
     ~Clients() { stop(); }
-    // How many requests were served.
+    // Stops the clients and returns the number of requests that were served.
     int stop() {
         stop_ = true;
         for (std::thread& thread : threads_)
@@ -31,7 +32,7 @@
     std::vector<std::thread> threads_;
 };
 
-class KilledUnderChanges : public testing::Test {
+class KilledDuringChanges : public testing::Test {
 protected:
     std::uint64_t random(std::uint64_t n) {
         state_ = state_ * 6364136223846793005u + 1442695040888963407u;
@@ -43,22 +44,24 @@
         } catch (const boost::system::system_error&) {
         }
     }
-    // The process starts with a configuration that was on the disk, or was on its way there.
+    // Checks that the process starts with the last configuration on the disk, or with the configuration that
+    // was being written when the previous process was killed.
     std::unique_ptr<Process> start_and_check() {
         auto process = fixture.start();
-        fixture.wait_for_the_disk();  // so that the run is confirmed: else the crash loop rule would end this
+        // The run must be confirmed as stable; otherwise the state would be quarantined as a crash loop.
+        fixture.wait_for_the_disk();
         const int attempts = fixture.attempts();
         EXPECT_TRUE(attempts == acknowledged || attempts == tried)
             << fixture.place.log() << attempts << " is neither " << acknowledged << " nor " << tried;
         acknowledged = tried = attempts;
         return process;
     }
-    // True: it was on the disk before the kill.
+    // Changes max-attempts and kills the process. Returns whether the change was on the disk before the kill.
     bool change_and_kill(Process& process, int attempts) {
         json next = fixture.config;
         next["settings"]["limits"]["max-attempts"] = tried = attempts;
-        const bool settles = random(3) == 0;
-        if (settles) {
+        const bool durable = random(3) == 0;
+        if (durable) {
             Operator(fixture.admin).post("/v1/config", next);
             fixture.wait_for_the_disk();
             acknowledged = tried;
@@ -69,7 +72,7 @@
             operators.join();
         }
         process.end(SIGKILL);
-        return settles;
+        return durable;
     }
 
     Fixture fixture;
@@ -79,7 +82,7 @@
     std::uint64_t state_ = 20261201;
 };
 
-TEST_F(KilledUnderChanges, WhileItServesItComesBackWithTheOldOrTheNewConfiguration) {
+TEST_F(KilledDuringChanges, RestartsWithTheOldOrTheNewConfiguration) {
     Clients clients(fixture);
     int settled = 0;
     for (int run = 0; run < 40; ++run) {
@@ -92,10 +95,10 @@
     std::map<std::string, int> runs;
     for (const HttpRequest& request : fixture.server.seen()) ++runs[std::string(request["X-Correlation-Id"])];
     for (const auto& [id, count] : runs)
-        EXPECT_EQ(count, 1) << id << ": what was lost with a process is not sent again";
+        EXPECT_EQ(count, 1) << id << ": a request that ended with a killed process must not be sent again";
 }
 
-TEST(Killed, ACanaryUnderWayIsNotTakenAsGood) {
+TEST(Killed, ACanaryUnderWayIsNotLastKnownGood) {
     Fixture f;
     auto process = f.start();
     process->end(SIGKILL);
@@ -103,7 +106,8 @@
     next["settings"]["limits"]["max-attempts"] = 7;
     next["ochregrade"]["trial"] = {{"bake_ms", 60000}};
     f.place.write(next.dump());
-    // Accepted as it is at the start: there is nothing to compare it with.
+    // At the start the file is accepted without a canary, because there is no earlier version to compare it
+    // with.
     process = f.start();
     EXPECT_EQ(f.attempts(), 7);
     f.wait_for_the_disk();
@@ -114,10 +118,10 @@
     process->end(SIGKILL);
     process = f.start();
     EXPECT_EQ(f.attempts(), 7);
-    EXPECT_GT(Operator(f.admin).get("/v1/config").at("generation"), 2) << "numbers never come twice";
+    EXPECT_GT(Operator(f.admin).get("/v1/config").at("generation"), 2) << "no version number is used twice";
 }
 
-TEST(Killed, RetainedVersionsAreStillThere) {
+TEST(Killed, RetainedVersionsAreRestored) {
     Fixture f;
     auto process = f.start();
     json next = f.config;
@@ -130,7 +134,8 @@
     process = f.start();
     Operator ops(f.admin);
     EXPECT_EQ(f.attempts(), 6);
-    EXPECT_EQ(ops.get("/v1/config").at("content_of"), 3) << "it says what the third said";
+    EXPECT_EQ(ops.get("/v1/config").at("content_of"), 3)
+        << "the current version has the content of version 3";
     EXPECT_EQ(ops.post("/v1/config/rollback").at("result"), "applied");
     EXPECT_EQ(f.attempts(), 5);
     EXPECT_EQ(ops.post("/v1/config/rollback?to=1").at("result"), "applied");
@@ -138,7 +143,7 @@
     EXPECT_EQ(try_asking(f.listen, App::request("listen")), 200u);
 }
 
-TEST(Killed, WithAStateItServesBeforeDiscoveryAnswers) {
+TEST(Killed, RestoredEndpointsServeBeforeDiscoveryResponds) {
     Fixture f;
     auto process = f.start();
     EXPECT_EQ(try_asking(f.listen, App::request("listen")), 200u);
@@ -152,43 +157,45 @@
     f.discovery.silent = true;
     process = f.start();
     EXPECT_EQ(try_asking(f.listen, App::request("listen")), 200u);
-    EXPECT_EQ(Operator(f.admin).get("/v1/status").at("list").at("seq"), 0) << "nobody has told it";
+    EXPECT_EQ(Operator(f.admin).get("/v1/status").at("list").at("seq"), 0) << "discovery has sent no list";
 }
 
-// Whoever writes configurations may not know yet that the process has been told to end.
-TEST(PlannedStops, EndWithZeroUnderNewConfigurationsUpToTheLastMoment) {
+// SIGHUP may arrive while the process exits after SIGTERM, because the tool that writes the configuration may
+// not have noticed the stop yet. Such a signal must not kill the process.
+TEST(PlannedStops, ExitWithZeroDuringReloads) {
     Fixture f;
-    for (int life = 0; life < 5; ++life) {
+    for (int run = 0; run < 5; ++run) {
         const auto process = f.start();
         process->signal(SIGTERM);
         while (process->runs()) {
             process->signal(SIGHUP);
-            std::this_thread::sleep_for(std::chrono::microseconds(100));  // many in the time of an exit
+            std::this_thread::sleep_for(std::chrono::microseconds(100));  // many signals during one exit
         }
-        ASSERT_EQ(process->end(0), 0) << "life " << life;
+        ASSERT_EQ(process->end(0), 0) << "run " << run;
     }
 }
 
-TEST(PlannedStops, AreNoCrashLoopHoweverSoonTheyCome) {
+TEST(PlannedStops, OfShortRunsAreNotACrashLoop) {
     Fixture f;
     f.config["ochregrade"]["state"]["lived_ms"] = 3600000;
     f.place.write(f.config.dump());
-    for (int life = 0; life < StateStore::kMaxShortRuns + 2; ++life) EXPECT_EQ(f.start()->end(SIGTERM), 0);
+    for (int run = 0; run < StateStore::kMaxShortRuns + 2; ++run) EXPECT_EQ(f.start()->end(SIGTERM), 0);
     EXPECT_EQ(f.place.log().find("runs ended early"), std::string::npos) << f.place.log();
-    for (int life = 0; life < StateStore::kMaxShortRuns + 1; ++life) f.start()->end(SIGKILL);
-    EXPECT_NE(f.place.log().find("runs ended early"), std::string::npos) << "but kills are";
+    for (int run = 0; run < StateStore::kMaxShortRuns + 1; ++run) f.start()->end(SIGKILL);
+    EXPECT_NE(f.place.log().find("runs ended early"), std::string::npos)
+        << "killed short runs are a crash loop";
 }
 
-TEST(BadFile, EndsTheStartWithTwoUnlessALastKnownGoodMayReplaceIt) {
+TEST(BadFile, ExitsWithTwoUnlessTheLastKnownGoodMayReplaceIt) {
     Fixture f;
     auto process = f.start();
     f.wait_for_the_disk();
     process->end(SIGKILL);
     f.place.write("{\"name\":");
-    const std::string where = "OCHREGRADE_STATE_DIR=" + f.place.state();
-    EXPECT_EQ(Process(f.place, {where}).end(0), 2);
+    const std::string state_variable = "OCHREGRADE_STATE_DIR=" + f.place.state();
+    EXPECT_EQ(Process(f.place, {state_variable}).end(0), 2);
     EXPECT_NE(f.place.log().find("NODE_CONFIG is not JSON"), std::string::npos);
-    process = f.start({where, "OCHREGRADE_LAST_KNOWN_GOOD=1"});
+    process = f.start({state_variable, "OCHREGRADE_LAST_KNOWN_GOOD=1"});
     EXPECT_NE(
         f.place.log().find("the file is rejected; the last known good configuration is in force instead"),
         std::string::npos);
@@ -197,22 +204,22 @@
     EXPECT_EQ(process->end(SIGTERM), 0);
 }
 
-TEST(OneFolder, IsOneProcesssAndTheOtherServesWithoutState) {
+TEST(SharedStateFolder, IsUsedByOneProcessAndTheOtherServesWithoutState) {
     Fixture f;
     auto first = f.start();
     json other = f.config;
-    const tcp::endpoint at = free_port();
-    other["listen"] = text_of(at);
+    const tcp::endpoint second_listen = free_port();
+    other["listen"] = text_of(second_listen);
     other["ochregrade"]["admin"]["listen"] = text_of(free_port());
     f.place.write(other.dump());
     Process second(f.place, {});
-    ASSERT_TRUE(until([&] { return try_asking(at, kHealth) == 200; }));
+    ASSERT_TRUE(until([&] { return try_asking(second_listen, kHealth) == 200; }));
     EXPECT_NE(f.place.log().find("another process has it"), std::string::npos);
     const std::string second_admin = other["ochregrade"]["admin"]["listen"];
     const json state = Operator(endpoint_of(second_admin)).get("/v1/status").at("state");
     EXPECT_EQ(state.at("usable"), false);
     EXPECT_EQ(state.at("why"), "another process has it");
-    EXPECT_EQ(try_asking(at, App::request("listen")), 200u);
+    EXPECT_EQ(try_asking(second_listen, App::request("listen")), 200u);
     EXPECT_EQ(second.end(SIGTERM), 0);
     EXPECT_EQ(first->end(SIGTERM), 0);
 }
--- a/tests/recovery/recorded_bytes_test.cpp
+++ b/tests/recovery/recorded_bytes_test.cpp
@@ -1,5 +1,5 @@
-// What an earlier version wrote down and was given: a configuration file with every field, read into its
-// typed form, and a state folder, recovered field by field and written again to the same bytes.
+// Tests that this version reads the files of an earlier version: a configuration file with every field, and a
+// state folder, whose fields are recovered and which this version writes with the same bytes.
 #include <unistd.h>
 
 #include "support/recorded.hpp"
@@ -10,8 +10,8 @@
 
 namespace fs = std::filesystem;
 
-// A document as this version writes it: the recorded ones have the program's section under its former name.
-std::string in_present_form(const std::string& document) {
+// Returns the document as this version writes it; recorded documents have the section's former name.
+std::string in_current_format(const std::string& document) {
     return parse_config(document, "a recorded document").dump();
 }
 
@@ -21,7 +21,7 @@
     return read_config(parse_config(recorded::read("config.json"), "tests/recorded/config.json"));
 }
 
-TEST(RecordedConfiguration, GivesTheFieldsOfTheProcess) {
+TEST(RecordedConfiguration, HasTheFieldsOfTheProcess) {
     const Config c = recorded_config();
     EXPECT_EQ(c.name, "n3");
     EXPECT_EQ(text_of(c.listen), "127.0.0.1:8081");
@@ -36,7 +36,7 @@
     EXPECT_EQ(text_of(c.peers_all.value()), "127.0.0.255:7946");
 }
 
-TEST(RecordedConfiguration, GivesTheOwnSection) {
+TEST(RecordedConfiguration, HasTheFieldsOfTheProgramsSection) {
     const Config c = recorded_config();
     EXPECT_EQ(text_of(c.operator_endpoint.value()), "127.0.0.1:9901");
     EXPECT_EQ(c.state_directory, "/var/lib/cobaltshift");
@@ -54,7 +54,7 @@
     EXPECT_TRUE(c.joins_replication());
 }
 
-TEST(RecordedConfiguration, GivesTheKnownList) {
+TEST(RecordedConfiguration, HasTheKnownList) {
     const EndpointList list = recorded_config().known_endpoints.value();
     EXPECT_EQ(list.seq, 41u);
     EXPECT_TRUE(list.complete);
@@ -73,19 +73,19 @@
     EXPECT_EQ(list.endpoints[2].capacity_weight, 1);
 }
 
-TEST(RecordedConfiguration, GivesTheClasses) {
+TEST(RecordedConfiguration, HasTheClasses) {
     const Config c = recorded_config();
     EXPECT_EQ(c.classes, (std::vector<std::string>{"listen", "deposit", "annotate"}));
-    EXPECT_EQ(c.longest_deadline, 3000) << "of the class that says none";
+    EXPECT_EQ(c.longest_deadline, 3000) << "the default of the class that has no deadline";
     const auto& classes = c.settings.classes;
     ASSERT_EQ(classes.size(), 3u);
-    const auto expect = [&](std::size_t i, Idempotency effect, DedupScope scope, Millis window, Millis aim,
-                            double stretch, double worth) {
+    const auto expect = [&](std::size_t i, Idempotency effect, DedupScope scope, Millis window,
+                            Millis objective, double objective_per_effort, double worth) {
         EXPECT_EQ(classes[i].idempotency, effect) << i;
         EXPECT_EQ(classes[i].dedup_scope, scope) << i;
         EXPECT_EQ(classes[i].dedup_window, window) << i;
-        EXPECT_EQ(classes[i].latency_objective, aim) << i;
-        EXPECT_EQ(classes[i].objective_per_effort, stretch) << i;
+        EXPECT_EQ(classes[i].latency_objective, objective) << i;
+        EXPECT_EQ(classes[i].objective_per_effort, objective_per_effort) << i;
         EXPECT_EQ(classes[i].priority_weight, worth) << i;
     };
     expect(0, Idempotency::idempotent, DedupScope::all, 1000, 400, 1.25, 1);
@@ -93,11 +93,11 @@
     expect(2, Idempotency::idempotent_with_key, DedupScope::cell, 5000, 200, 0, 2);
 }
 
-TEST(RecordedConfiguration, GivesTheOtherSettings) {
+TEST(RecordedConfiguration, HasTheOtherSettings) {
     const Config c = recorded_config();
     const Settings& s = c.settings;
     EXPECT_EQ(c.local_zone, "b");
-    EXPECT_EQ(s.local_zone, std::nullopt) << "it has no number yet";
+    EXPECT_EQ(s.local_zone, std::nullopt) << "the zone has no id yet";
     EXPECT_TRUE(s.polled_discovery);
     EXPECT_EQ(s.sidecar_count, 4u);
     EXPECT_EQ(s.sidecar_index, 3u);
@@ -117,9 +117,9 @@
     EXPECT_EQ(s.fees.probe, 0.001);
 }
 
-TEST(RecordedConfiguration, IsAcceptedAsTheSameDocumentOfTheSameHash) {
+TEST(RecordedConfiguration, HasTheRecordedDocumentAndHash) {
     const Config c = recorded_config();
-    EXPECT_EQ(c.document, in_present_form(recorded::read("config-document.json")));
+    EXPECT_EQ(c.document, in_current_format(recorded::read("config-document.json")));
     recorded::expect_same("config-settings-hash.txt", std::to_string(c.settings_hash) + "\n");
     recorded::expect_same("config-in-rollout.txt", c.in_rollout() ? "yes\n" : "no\n");
 }
@@ -151,7 +151,7 @@
     return s;
 }
 
-// A folder of this process, gone with it.
+// A folder with the process id in its name; deleted by the destructor.
 class TemporaryFolder {
 public:
     TemporaryFolder()
@@ -163,34 +163,34 @@
     const fs::path path;
 };
 
-std::unique_ptr<StateStore> keeper_of(const fs::path& path, const Timestamps& now) {
+std::unique_ptr<StateStore> open_store(const fs::path& path, const Timestamps& now) {
     storage::OpenedDirectory opened = storage::open_directory(path.string());
     EXPECT_TRUE(opened.directory) << path << " error " << opened.error;
     return std::make_unique<StateStore>(std::move(opened.directory), [now] { return now; });
 }
 
-// One record at a time, so that each has the same number every time.
-void settle(StateStore& keeper) {
-    while (!keeper.settled()) std::this_thread::sleep_for(std::chrono::milliseconds(1));
-    EXPECT_EQ(keeper.counts().failed, 0u);
+// Waits until the submitted record is on the disk, so that the records get the same sequence in every run.
+void wait_until_written(StateStore& store) {
+    while (!store.settled()) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+    EXPECT_EQ(store.counts().failed, 0u);
 }
 
 void write_state(const fs::path& path) {
-    const auto keeper = keeper_of(path, kWrittenAt);
-    keeper->recover();
+    const auto store = open_store(path, kWrittenAt);
+    store->recover();
     ConfigVersions generations;
     generations.commit(snapshot(1, config_one()), ConfigVersions::Source::start, 0, {}, 1000.5);
     generations.commit(snapshot(2, config_two()), ConfigVersions::Source::operators, 0, {}, 2000.25);
     generations.commit(snapshot(3, config_on_trial()), ConfigVersions::Source::operators, 0, {1000, 0.05, 10},
                        3000);
-    keeper->save_config(generations, document_of(config_one())), settle(*keeper);
+    store->save_config(generations, document_of(config_one())), wait_until_written(*store);
     const json list = {{"seq", 77},
                        {"whole", true},
                        {"hosts", {host("s1", "127.0.0.1:5"), host("s2", "[::1]:6", "DRAINING")}}};
-    keeper->save_endpoints(parse_endpoint_list(list), kDiscovery,
-                           {{"s1", 0, 8000.5, 0.375}, {"s2", 0, 0, 0.25}});
-    settle(*keeper);
-    keeper->confirm_stable_uptime(), settle(*keeper);
+    store->save_endpoints(parse_endpoint_list(list), kDiscovery,
+                          {{"s1", 0, 8000.5, 0.375}, {"s2", 0, 0, 0.25}});
+    wait_until_written(*store);
+    store->confirm_stable_uptime(), wait_until_written(*store);
 }
 
 std::map<std::string, std::string> files_of(const fs::path& path) {
@@ -203,45 +203,46 @@
     return files;
 }
 
-// The configurations in a record as this version writes them; a record of another kind as it is.
-std::string in_present_form(const storage::Record& record) {
+// Encodes the record with its configurations as this version writes them. Records without configurations are
+// encoded unchanged.
+std::string in_current_format(const storage::Record& record) {
     if (record.kind != "config") return storage::encode(record);
     json payload = json::parse(record.payload);
     for (const char* field : {"good", "file"})
-        payload[field] = in_present_form(payload.at(field).get<std::string>());
+        payload[field] = in_current_format(payload.at(field).get<std::string>());
     for (json& version : payload.at("kept"))
-        version["config"] = in_present_form(version.at("config").get<std::string>());
+        version["config"] = in_current_format(version.at("config").get<std::string>());
     return storage::encode({record.kind, record.sequence, payload.dump()});
 }
 
-TEST(RecordedState, IsWrittenAgainToTheSameFilesAndBytes) {
+TEST(RecordedState, IsWrittenWithTheSameFileNamesAndBytes) {
     TemporaryFolder folder;
     write_state(folder.path);
     const auto written = files_of(folder.path);
     const auto before = files_of(recorded::path_of("state"));
-    EXPECT_EQ(before.size(), 4u) << "config, world, and that a life began and lasted";
+    EXPECT_EQ(before.size(), 4u) << "a config record, a world record and two starts records";
     ASSERT_EQ(written.size(), before.size());
     for (const auto& [name, bytes] : before) {
         const storage::Decoded decoded = storage::decode(bytes);
         ASSERT_EQ(decoded.error, storage::DecodeError::none) << name;
         EXPECT_EQ(storage::encode(decoded.record), bytes) << name;
-        EXPECT_EQ(written.at(name), in_present_form(decoded.record)) << name;
+        EXPECT_EQ(written.at(name), in_current_format(decoded.record)) << name;
     }
 }
 
-// A copy of the recorded folder: recovering writes to it.
+// Recovers the state from a copy of the recorded folder, because the recovery writes to the folder.
 struct RecordedStateRecovered : testing::Test {
     RecordedStateRecovered() {
         fs::copy(recorded::path_of("state"), folder.path, fs::copy_options::recursive);
-        keeper = keeper_of(folder.path, {kWrittenAt.wall + kLater, kWrittenAt.uptime + kLater, "boot-a"});
-        recovered = keeper->recover();
+        store = open_store(folder.path, {kWrittenAt.wall + kLater, kWrittenAt.uptime + kLater, "boot-a"});
+        recovered = store->recover();
     }
     TemporaryFolder folder;
-    std::unique_ptr<StateStore> keeper;
+    std::unique_ptr<StateStore> store;
     RecoveredState recovered;
 };
 
-TEST_F(RecordedStateRecovered, HasTheConfigurationThatWasGood) {
+TEST_F(RecordedStateRecovered, HasTheLastKnownGoodConfiguration) {
     ASSERT_TRUE(recovered.last_known_good);
     EXPECT_EQ(recovered.last_known_good->dump(), document_of(config_two()));
     EXPECT_EQ(recovered.file, document_of(config_one()));
@@ -264,7 +265,7 @@
     }
 }
 
-TEST_F(RecordedStateRecovered, HasTheListAndWhatWasLearntAged) {
+TEST_F(RecordedStateRecovered, HasTheEndpointListAndAgedSnapshots) {
     ASSERT_TRUE(recovered.endpoints);
     EXPECT_EQ(recovered.discovery, kDiscovery);
     EXPECT_EQ(recovered.endpoints->seq, 77u);
@@ -291,16 +292,16 @@
     EXPECT_EQ(recovered.snapshots[1].latency_ratio, 0.25);
 }
 
-// Read, not set aside: what was there is there still, and the new life is counted.
-TEST_F(RecordedStateRecovered, LeavesTheRecordedFilesAndCountsTheLife) {
-    keeper.reset();
+// The recovery quarantines none of the recorded files, and adds a record that counts the new run.
+TEST_F(RecordedStateRecovered, LeavesTheRecordedFilesAndCountsTheRun) {
+    store.reset();
     auto after = files_of(folder.path);
     for (const auto& [name, bytes] : files_of(recorded::path_of("state")))
         EXPECT_EQ(after[name], bytes) << name;
     ASSERT_EQ(after.size(), 5u);
     const storage::OpenedDirectory opened = storage::open_directory(folder.path.string());
-    storage::RecordStore store(*opened.directory, [](const std::string&) {});
-    const auto counted = store.load("starts", [](const storage::Record&) { return std::string(); });
+    storage::RecordStore records(*opened.directory, [](const std::string&) {});
+    const auto counted = records.load("starts", [](const storage::Record&) { return std::string(); });
     ASSERT_TRUE(counted);
     EXPECT_EQ(counted->payload, R"({"starts":1})");
     EXPECT_EQ(counted->sequence, 5u);
--- a/tests/recovery/startup_config_test.cpp
+++ b/tests/recovery/startup_config_test.cpp
@@ -1,4 +1,4 @@
-// Which configuration and which endpoint list a process starts with.
+// Tests which configuration and which endpoint list a process starts with.
 #include "state_directory.hpp"
 
 namespace ochregrade::sidecar {
@@ -25,7 +25,7 @@
     const Start start = decide_start(file, recovered_from(changed_config(), file));
     EXPECT_EQ(start.config.settings.max_attempts, 2u);
     EXPECT_EQ(start.source, ConfigVersions::Source::recovery);
-    EXPECT_EQ(start.config.seed, 0x77u) << "what is read at the start only is the file's";
+    EXPECT_EQ(start.config.seed, 0x77u) << "start-only fields have the file's values";
     EXPECT_EQ(start.config.known_endpoints->endpoints.size(), 1u);
     EXPECT_EQ(start.config.stable_uptime, 5);
     EXPECT_EQ(start.file_document, document_of(file));
@@ -58,23 +58,23 @@
     const Start start = decide_start(std::nullopt, recovered_from(changed_config(), base_config()));
     EXPECT_EQ(start.config.document, document_of(changed_config()));
     EXPECT_EQ(start.source, ConfigVersions::Source::recovery);
-    EXPECT_EQ(start.file_document, "") << "whatever a good file says next is new";
+    EXPECT_EQ(start.file_document, "") << "the next valid file must count as changed";
 }
 
 TEST(StartupConfig, TheNewerEndpointListOfTheSameDiscoveryIsUsed) {
-    const auto start = [](std::uint64_t stored, const std::string& discovery, bool known) {
+    const auto start = [](std::uint64_t stored_seq, const std::string& discovery, bool known) {
         RecoveredState recovered;
         recovered.endpoints = two_endpoints();
-        recovered.endpoints->seq = stored;
+        recovered.endpoints->seq = stored_seq;
         recovered.discovery = discovery;
-        json file = base_config();  // knows the fifth
+        json file = base_config();  // its list has sequence number 5
         if (!known) file.erase("known");
         return decide_start(file, recovered).endpoints_restored;
     };
     EXPECT_TRUE(start(6, "127.0.0.1:1", true));
     EXPECT_FALSE(start(5, "127.0.0.1:1", true));
-    EXPECT_FALSE(start(6, "127.0.0.1:9", true)) << "another discovery counts for itself";
-    EXPECT_TRUE(start(1, "127.0.0.1:9", false)) << "better than none";
+    EXPECT_FALSE(start(6, "127.0.0.1:9", true)) << "another discovery has a different sequence";
+    EXPECT_TRUE(start(1, "127.0.0.1:9", false)) << "the file has no list";
 }
 
 }  // namespace
--- a/tests/recovery/state_directory.hpp
+++ b/tests/recovery/state_directory.hpp
@@ -1,5 +1,5 @@
-// What the tests of recovery share: a simulated directory with the state of earlier runs, and a clock that
-// the test moves; an endpoint list and two configurations to save in it.
+// Fixtures of the recovery tests: a simulated directory with the state of previous runs, a clock that the
+// test sets, an endpoint list and two configurations.
 #pragma once
 #include <functional>
 #include <memory>
@@ -16,8 +16,8 @@
                                     : Timestamps{kSavedAt.wall + by, 1000, boot};
 }
 
-// A state store whose clock the test moves. What it has been given to save is on the disk when it is
-// destroyed.
+// Opens state stores on one simulated directory, with a clock that the test sets. When a store is destroyed,
+// all records submitted to it are on the disk.
 struct StateDirectory {
     std::shared_ptr<storage::SimulatedDirectory> folder = std::make_shared<storage::SimulatedDirectory>();
     Timestamps now = kSavedAt;
@@ -25,7 +25,8 @@
         return std::make_unique<StateStore>(folder, [this] { return now; });
     }
     RecoveredState recover() { return open()->recover(); }
-    // A run that lasts until its uptime counts as stable.
+    // Simulates a run that is confirmed as stable, and returns the state that it recovered. `during` is
+    // called while the run lasts.
     RecoveredState run_stably(const std::function<void(StateStore&)>& during = [](StateStore&) {}) {
         const auto store = open();
         RecoveredState recovered = store->recover();
--- a/tests/recovery/state_store_test.cpp
+++ b/tests/recovery/state_store_test.cpp
@@ -1,5 +1,5 @@
-// What a later run may trust of the state on the disk: ages, verification, crash loops, a directory that
-// fails.
+// Tests which part of the stored state a later run uses: the age of records, their validation, crash loops,
+// and a directory whose calls fail.
 #include "state_directory.hpp"
 
 namespace ochregrade::sidecar {
@@ -12,16 +12,16 @@
     Timestamps stepped = after(5000);
     stepped.wall -= 1e9;  // the wall clock was set back
     EXPECT_EQ(age(kSavedAt, stepped), 5000);
-    stepped.wall += 1e12;  // and forward
+    stepped.wall += 1e12;  // the wall clock was set forward
     EXPECT_EQ(age(kSavedAt, stepped), 5000);
 }
 
 TEST(StateAge, AfterARebootAClockSetBackDoesNotReduceIt) {
     EXPECT_EQ(age(kSavedAt, after(60000, "boot-b")), 60000);
-    EXPECT_EQ(age(kSavedAt, after(-60000, "boot-b")), std::nullopt) << "nobody knows";
+    EXPECT_EQ(age(kSavedAt, after(-60000, "boot-b")), std::nullopt) << "the age is unknown";
     Timestamps just = after(0, "boot-b");
     just.uptime = 300000;
-    EXPECT_EQ(age(kSavedAt, just), 300000) << "older than the machine has been up";
+    EXPECT_EQ(age(kSavedAt, just), 300000) << "the record is at least as old as the boot";
     EXPECT_EQ(age(kSavedAt, {kSavedAt.wall, kSavedAt.uptime, ""}), kSavedAt.uptime);
 }
 
@@ -45,11 +45,11 @@
     EXPECT_EQ(recovered.endpoints->endpoints[1].state, EndpointState::draining);
     EXPECT_EQ(text_of(recovered.endpoints->endpoints[0].address), "127.0.0.1:5");
     ASSERT_EQ(recovered.snapshots.size(), 2u);
-    EXPECT_EQ(recovered.snapshots[0].ejected_for, 5000) << "less the time since";
+    EXPECT_EQ(recovered.snapshots[0].ejected_for, 5000) << "reduced by the time since the record was written";
     state.now = after(61000);
     recovered = state.run_stably();
     EXPECT_TRUE(recovered.endpoints);
-    EXPECT_TRUE(recovered.snapshots.empty()) << "over, and too old";
+    EXPECT_TRUE(recovered.snapshots.empty()) << "the ejection has expired and the latency ratios are too old";
     state.now = after(kMaxEndpointsAge + 1);
     EXPECT_FALSE(state.run_stably().endpoints);
 }
@@ -71,7 +71,7 @@
         for (int i = 0; i < 50; ++i)
             store.save_endpoints(two_endpoints(), "x", {{"s1", 0, 8000.0 - i, 0.4 + i}});
         while (!store.settled()) std::this_thread::yield();
-        EXPECT_EQ(store.counts().written, 2u) << "this, and that it has lived";
+        EXPECT_EQ(store.counts().written, 2u) << "one record of the endpoints and one of the starts";
     });
 }
 
@@ -84,7 +84,7 @@
     const RecoveredState recovered = state.run_stably();
     EXPECT_TRUE(recovered.canary_interrupted);
     EXPECT_EQ(recovered.last_known_good->dump(), document_of(base_config()));
-    EXPECT_EQ(recovered.next_version, 3u) << "numbers go on";
+    EXPECT_EQ(recovered.next_version, 3u) << "version numbers continue";
     ASSERT_EQ(recovered.versions.size(), 1u);
     EXPECT_EQ(recovered.versions[0].number(), 1u);
     EXPECT_EQ(recovered.versions[0].state, State::good);
@@ -126,9 +126,9 @@
     const RecoveredState recovered = state.recover();
     EXPECT_TRUE(recovered.crash_loop);
     EXPECT_FALSE(recovered.endpoints);
-    int aside = 0;
-    for (const auto& [name, file] : state.folder->visible) aside += name.rfind("bad-world", 0) == 0;
-    EXPECT_EQ(aside, 1) << "and nothing is deleted";
+    int quarantined = 0;
+    for (const auto& [name, file] : state.folder->visible) quarantined += name.rfind("bad-world", 0) == 0;
+    EXPECT_EQ(quarantined, 1) << "the state must be quarantined, not deleted";
 }
 
 TEST(CrashLoop, StableRunsAreNotCounted) {
@@ -141,7 +141,7 @@
         StateDirectory state;
         state.run_stably([](StateStore& store) { store.save_endpoints(two_endpoints(), "x", {}); });
         state.folder->fail_at = state.folder->calls, state.folder->fail_with = error,
-        state.folder->fail_on = true;
+        state.folder->fail_permanently = true;
         const auto store = state.open();
         const RecoveredState recovered = store->recover();
         EXPECT_FALSE(recovered.endpoints);
--- a/tests/storage/record_store_test.cpp
+++ b/tests/storage/record_store_test.cpp
@@ -1,5 +1,6 @@
-// Durable state on a file system that loses whatever it is allowed to lose: every crash point, every allowed
-// set of surviving writes and names, and every single failing call.
+// Tests durable records on a simulated file system that loses whatever it may lose in a power failure. The
+// tests cover every point of a power failure, every allowed set of surviving writes and names, and every
+// failing call.
 #include "storage/record_store.hpp"
 
 #include <gtest/gtest.h>
@@ -24,7 +25,8 @@
     return record ? record->payload : "nothing";
 }
 
-// Saves one after the other; what may be found at any moment is in `allowed`.
+// Saves records one after the other. `allowed` contains the payloads that load() may return after a power
+// failure at the present moment.
 struct SimulatedRun {
     std::set<std::string> allowed = {"nothing"};
     void save_all(SimulatedDirectory& directory, int saves) {
@@ -42,10 +44,10 @@
                      int& checked) {
     directory.for_each_survivor([&](SimulatedDirectory& after) {
         ++checked;
-        SimulatedDirectory again = after;
-        const std::string found = found_in(again);
+        SimulatedDirectory copy = after;
+        const std::string found = found_in(copy);
         EXPECT_EQ(allowed.count(found), 1u) << "found: " << found;
-        // And the next process continues from there.
+        // The next process can load and save in the same directory.
         SimulatedDirectory next = after;
         RecordStore store(next, kNoLog);
         store.load("world", kAcceptAll);
@@ -54,49 +56,50 @@
     });
 }
 
-TEST(Recovery, FindsTheOldOrTheNewStateAfterACutAtAnyCall) {
-    int checked = 0, cuts = 0;
+TEST(Recovery, FindsTheOldOrTheNewStateAfterAPowerFailureAtAnyCall) {
+    int checked = 0, power_failures = 0;
     for (int at = 0;; ++at) {
         SimulatedDirectory directory;
         directory.crash_at = at;
         SimulatedRun run;
         bool crashed = false;
         try {
-            run.save_all(directory, 6);  // beyond what is kept, so that old ones go
+            run.save_all(directory, 6);  // more than kMaxRecords, so that old records are deleted
         } catch (const Crash&) {
             crashed = true;
         }
         SCOPED_TRACE(at);
         check_survivors(directory, run.allowed, checked);
         if (HasFailure() || !crashed) break;
-        ++cuts;
+        ++power_failures;
     }
-    EXPECT_GE(cuts, 30);
+    EXPECT_GE(power_failures, 30);
     EXPECT_GT(checked, 100);
 }
 
-TEST(Recovery, FindsAWholeStateAfterAnyCallFailedAndACutAtAnyLater) {
+TEST(Recovery, FindsACompleteStateAfterAFailedCallAndALaterPowerFailure) {
     int checked = 0;
     for (const int error : {EIO, ENOSPC})
-        for (const bool for_good : {false, true})
+        for (const bool permanent : {false, true})
             for (int fail = 0; fail < 24; ++fail)
                 for (int cut = fail + 1; cut < 30; ++cut) {
                     SimulatedDirectory directory;
-                    directory.fail_at = fail, directory.fail_with = error, directory.fail_on = for_good;
+                    directory.fail_at = fail, directory.fail_with = error,
+                    directory.fail_permanently = permanent;
                     directory.crash_at = cut;
                     SimulatedRun run;
                     try {
                         run.save_all(directory, 5);
                     } catch (const Crash&) {
                     }
-                    SCOPED_TRACE(std::to_string(fail) + " fails, cut at " + std::to_string(cut));
+                    SCOPED_TRACE(std::to_string(fail) + " fails, power failure at " + std::to_string(cut));
                     check_survivors(directory, run.allowed, checked);
                     if (HasFailure()) return;
                 }
     EXPECT_GT(checked, 5000);
 }
 
-TEST(Recovery, ASyncThatFailedIsAFailureAndTheOldStateStays) {
+TEST(Recovery, AFailedSyncIsReportedAndTheOldStateRemains) {
     SimulatedDirectory directory;
     RecordStore store(directory, kNoLog);
     ASSERT_EQ(store.save("world", "old"), std::error_code());
@@ -104,30 +107,31 @@
     directory.fail_with = EIO;
     EXPECT_EQ(store.save("world", "new"), std::errc::io_error);
     EXPECT_EQ(found_in(directory), "old");
-    EXPECT_EQ(store.save("world", "newer"), std::error_code()) << "written anew, not synced again";
+    EXPECT_EQ(store.save("world", "newer"), std::error_code())
+        << "the store must write a new file, not sync the old one again";
     EXPECT_EQ(found_in(directory), "newer");
 }
 
-TEST(RecordEncoding, AnyFlippedBitAndAnyCutIsNoticed) {
+TEST(RecordEncoding, AnyFlippedBitOrTruncationIsDetected) {
     const std::string good = encode({"world", 7, "some state or other"});
     ASSERT_EQ(decode(good).record.payload, "some state or other");
     EXPECT_EQ(decode(good).record.sequence, 7u);
     for (std::size_t i = 0; i < good.size(); ++i) {
         for (int bit = 0; bit < 8; ++bit) {
-            std::string bad = good;
-            bad[i] = static_cast<char>(bad[i] ^ 1 << bit);
-            EXPECT_EQ(decode(bad).error, DecodeError::damaged) << i;
+            std::string altered = good;
+            altered[i] = static_cast<char>(altered[i] ^ 1 << bit);
+            EXPECT_EQ(decode(altered).error, DecodeError::damaged) << i;
         }
         EXPECT_EQ(decode(good.substr(0, i)).error, DecodeError::damaged) << i;
     }
     EXPECT_EQ(decode(good + "x").error, DecodeError::damaged);
 }
 
-// The checksum of the standard's test vector, so that the format is the one it claims to be.
+// Compares the checksum with an independent bitwise implementation of CRC-32C, the checksum of the documented
+// format.
 TEST(RecordEncoding, TheChecksumIsCrc32c) {
+    // The encoded bytes are: magic, version 1, length 1, "a", sequence 0, length 0, checksum.
     std::string bytes = encode({"a", 0, ""});
-    // Magic, version 1, length 1, "a", sequence 0, length 0: computed once with an independent
-    // implementation.
     std::uint32_t sum = 0;
     for (int i = 3; i >= 0; --i)
         sum = sum << 8 | static_cast<unsigned char>(bytes[bytes.size() - 4 + static_cast<std::size_t>(i)]);
@@ -164,28 +168,28 @@
 TEST(Loading, QuarantinesInvalidRecordsAndLogsThat) {
     SimulatedDirectory directory;
     put(directory, numbered(1), encode({"world", 1, "good"}));
-    put(directory, numbered(2), encode({"world", 2, "makes no sense"}));
+    put(directory, numbered(2), encode({"world", 2, "invalid content"}));
     put(directory, numbered(3), "");
     put(directory, numbered(4), encode({"other", 4, "of another kind"}));
     put(directory, numbered(5), encode({"world", 5, "whole"}).substr(0, 30));
     put(directory, "half-" + numbered(6), "never finished");
-    put(directory, "a stranger's", "kept");
+    put(directory, "a foreign file", "kept");
     std::vector<std::string> logged;
     RecordStore store(directory, [&](const std::string& line) { logged.push_back(line); });
     const auto found = store.load("world", [](const Record& r) {
-        return r.payload == "makes no sense" ? std::string("nonsense") : std::string();
+        return r.payload == "invalid content" ? std::string("is invalid") : std::string();
     });
     ASSERT_TRUE(found);
     EXPECT_EQ(found->payload, "good");
     EXPECT_EQ(logged.size(), 4u);
     for (const int n : {2, 3, 4, 5}) EXPECT_EQ(directory.visible.count("bad-" + numbered(n)), 1u) << n;
     EXPECT_EQ(directory.visible.count("half-" + numbered(6)), 0u);
-    EXPECT_EQ(directory.visible.count("a stranger's"), 1u);
+    EXPECT_EQ(directory.visible.count("a foreign file"), 1u);
     EXPECT_EQ(store.save("world", "next"), std::error_code());
-    EXPECT_EQ(directory.visible.count(numbered(7)), 1u) << "a number is never used twice";
+    EXPECT_EQ(directory.visible.count(numbered(7)), 1u) << "a sequence is used only once";
 }
 
-TEST(Loading, ANewerVersionsRecordsAreLeftAlone) {
+TEST(Loading, RecordsOfANewerVersionAreNotChanged) {
     SimulatedDirectory directory;
     std::string newer = encode({"world", 9, "from the future"});
     newer[8] = 2;
@@ -200,7 +204,7 @@
     RecordStore store(directory, kNoLog);
     EXPECT_EQ(store.load("world", kAcceptAll)->payload, "ours");
     for (int i = 0; i < 10; ++i) EXPECT_EQ(store.save("world", "again"), std::error_code());
-    EXPECT_EQ(directory.visible.count(numbered(9)), 1u) << "the newer program may come back";
+    EXPECT_EQ(directory.visible.count(numbered(9)), 1u) << "the newer program may be installed again";
     EXPECT_EQ(found_in(directory), "again");
 }
 
@@ -215,7 +219,7 @@
     }
     EXPECT_EQ(directory.visible.size(), RecordStore::kMaxQuarantined);
     EXPECT_EQ(directory.visible.count("bad-" + numbered(40)), 1u);
-    EXPECT_EQ(logged, 40 - static_cast<int>(RecordStore::kMaxQuarantined)) << "never silently";
+    EXPECT_EQ(logged, 40 - static_cast<int>(RecordStore::kMaxQuarantined)) << "each deletion is logged";
 }
 
 TEST(Saving, RetainsTheNewestRecordsOnly) {
@@ -225,7 +229,7 @@
     EXPECT_EQ(directory.visible.size(), RecordStore::kMaxRecords);
 }
 
-// ---- The file system and the writer's thread -------------------------------------------------------------
+// ---- The real file system and the background writer -------------------------------------------------------
 
 struct TemporaryDirectory {
     std::string path = testing::TempDir() + "ochregrade_store_" + std::to_string(::getpid());
@@ -245,7 +249,7 @@
         EXPECT_EQ(second.error, std::errc::operation_would_block);
     }
     auto opened = open_directory(temp.path);
-    ASSERT_TRUE(opened.directory) << "the lock goes with its holder";
+    ASSERT_TRUE(opened.directory) << "the lock is released with the directory object";
     RecordStore store(*opened.directory, kNoLog);
     EXPECT_EQ(store.load("world", kAcceptAll)->payload, "kept");
     std::ofstream(temp.path + "/" + numbered(9)).flush();  // an empty file
@@ -276,7 +280,8 @@
     BackgroundWriter writer(directory, store);
     const auto start = std::chrono::steady_clock::now();
     for (int i = 0; i < 1000; ++i) writer.submit("world", "state " + std::to_string(i));
-    EXPECT_LT(std::chrono::steady_clock::now() - start, std::chrono::seconds(10)) << "nobody waited for it";
+    EXPECT_LT(std::chrono::steady_clock::now() - start, std::chrono::seconds(10))
+        << "submit() does not wait for the disk";
     directory->go = true;
     ASSERT_TRUE(writer.settled(std::chrono::seconds(30)));
     EXPECT_LE(writer.counts().written, 3u);
@@ -284,7 +289,7 @@
     EXPECT_EQ(found_in(*directory), "state 999");
 }
 
-TEST(BackgroundWriter, FailedWritesAreRetriedUntilTheDiskIsBack) {
+TEST(BackgroundWriter, FailedWritesAreRetriedUntilTheDiskRecovers) {
     auto directory = std::make_shared<SlowDirectory>();
     directory->go = directory->failing = true;
     auto store = std::make_shared<RecordStore>(*directory, kNoLog);
@@ -299,7 +304,7 @@
     EXPECT_EQ(found_in(*directory), "two");
 }
 
-TEST(BackgroundWriter, PendingStateIsWrittenAtTheEnd) {
+TEST(BackgroundWriter, PendingStateIsWrittenByTheDestructor) {
     auto directory = std::make_shared<SlowDirectory>();
     directory->go = true;
     {
--- a/tests/support/recorded.hpp
+++ b/tests/support/recorded.hpp
@@ -1,6 +1,7 @@
-// Files of bytes that an earlier version of the program wrote, under tests/recorded. A test that compares
-// with them shows whether this version still writes and reads the same. With OCHREGRADE_RECORD=1 in the
-// environment the files are written anew instead: only where a format is meant to change.
+// Access to the files under tests/recorded, whose bytes an earlier version of the program wrote. Tests
+// compare with them to check that this version still reads and writes the same bytes. If OCHREGRADE_RECORD=1
+// is set in the environment, the tests overwrite the files instead; this is only for intended changes of a
+// format.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -40,7 +41,7 @@
     EXPECT_TRUE(file.flush()) << name << " can't be written";
 }
 
-// The same bytes as in the file of that name.
+// Checks that the file `name` contains exactly `bytes`.
 inline void expect_same(const std::string& name, std::string_view bytes) {
     if (recording()) write(name, bytes);
     EXPECT_EQ(read(name), bytes) << name;
@@ -56,7 +57,7 @@
     return text;
 }
 
-// Of a file of hex digits and white space.
+// Decodes a text of hex digits and white space.
 inline std::vector<std::uint8_t> bytes_of_hex(const std::string& text) {
     std::istringstream in(text);
     std::string digits, part;
--- a/tests/support/simulated_directory.hpp
+++ b/tests/support/simulated_directory.hpp
@@ -1,4 +1,4 @@
-// A directory that loses whatever a file system may lose when the power fails.
+// A simulated directory that loses whatever a file system may lose in a power failure.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -17,27 +17,29 @@
 
 struct Crash {};
 
-// Distinguishes what the program sees from what is on the disk. Content is durable after a sync of its file,
-// names after one of the directory; until then each may be on the disk, or not, or in part.
+// Stores what the program sees separately from what is on the disk. The content of a file is durable after a
+// sync of the file, and names are durable after a sync of the directory. Until then a name may or may not be
+// on the disk, and content may be there completely, in part or not at all.
 class SimulatedDirectory : public Directory {
 public:
     struct File {
-        std::string seen, kept;
-        bool clean = true;  // nothing is left to be written
-        bool poisoned =
-            false;  // a sync failed: what was to be written is dropped, later syncs say nothing of it
+        std::string seen, kept;  // content as the program reads it, and content on the disk
+        bool clean = true;       // all content is on the disk
+        // A sync has failed: the unwritten content is lost, and later syncs report success all the same.
+        bool poisoned = false;
     };
     using FilePtr = std::shared_ptr<File>;
     using Names = std::map<std::string, FilePtr>;
+    // A change of names that is not yet durable.
     struct Step {
         enum { create, rename, remove } what;
         std::string from, to;
         FilePtr file;
     };
 
-    int crash_at = -1;  // before the call with this number
-    int fail_at = -1, fail_with = 0;
-    bool fail_on = false;  // every call from there on
+    int crash_at = -1;                // number of the call before which the power fails; -1: none
+    int fail_at = -1, fail_with = 0;  // number of the call that fails, -1: none; and its errno
+    bool fail_permanently = false;    // all calls after fail_at fail too
     int calls = 0;
 
     std::error_code list(std::vector<std::string>& names) override {
@@ -93,16 +95,16 @@
     }
     std::error_code sync_directory() override {
         if (const std::error_code e = call()) return e;
-        kept_ = visible;
+        durable_names_ = visible;
         steps_.clear();
         return {};
     }
 
-    // Every directory that may be found after the power is back.
-    void for_each_survivor(const std::function<void(SimulatedDirectory&)>& look) const {
+    // Calls `visit` with each directory that may exist after a power failure.
+    void for_each_survivor(const std::function<void(SimulatedDirectory&)>& visit) const {
         ASSERT_LE(steps_.size(), 10u);
         for (std::uint32_t chosen = 0; chosen < (1u << steps_.size()); ++chosen) {
-            Names names = kept_;
+            Names names = durable_names_;
             for (std::size_t i = 0; i < steps_.size(); ++i) {
                 if (!(chosen >> i & 1)) continue;
                 const Step& s = steps_[i];
@@ -115,20 +117,20 @@
                         names[s.to] = file;
                     }
             }
-            std::vector<FilePtr> unsure;
+            std::vector<FilePtr> unsynced;
             for (const auto& [name, file] : names)
-                if (!file->clean) unsure.push_back(file);
-            ASSERT_LE(unsure.size(), 4u);
-            for (std::uint32_t way = 0; way < (1u << (2 * unsure.size())); ++way) {
+                if (!file->clean) unsynced.push_back(file);
+            ASSERT_LE(unsynced.size(), 4u);
+            for (std::uint32_t variant = 0; variant < (1u << (2 * unsynced.size())); ++variant) {
                 SimulatedDirectory after;
                 for (const auto& [name, file] : names) {
                     std::string content = file->kept;
-                    for (std::size_t u = 0; u < unsure.size(); ++u)
-                        if (unsure[u] == file) content = partly(*file, way >> (2 * u) & 3);
+                    for (std::size_t u = 0; u < unsynced.size(); ++u)
+                        if (unsynced[u] == file) content = surviving_content(*file, variant >> (2 * u) & 3);
                     after.visible[name] = std::make_shared<File>(File{content, content});
                 }
-                after.kept_ = after.visible;
-                look(after);
+                after.durable_names_ = after.visible;
+                visit(after);
             }
         }
     }
@@ -136,27 +138,27 @@
     Names visible;
 
 private:
-    static std::string partly(const File& file, std::uint32_t way) {
+    static std::string surviving_content(const File& file, std::uint32_t variant) {
         const std::size_t half = file.seen.size() / 2;
-        switch (way) {
+        switch (variant) {
             case 0:
                 return file.kept;
             case 1:
                 return file.seen;
             case 2:
                 return file.seen.substr(0, half);
-            default:  // the length got there, a page of it did not
+            default:  // the new length is on the disk, but one page of the content is not
                 return file.seen.substr(0, half) + std::string(file.seen.size() - half, '\0');
         }
     }
     std::error_code call() {
         if (calls == crash_at) throw Crash();
-        const bool fails = calls == fail_at || (fail_on && calls > fail_at && fail_at >= 0);
+        const bool fails = calls == fail_at || (fail_permanently && calls > fail_at && fail_at >= 0);
         ++calls;
         return fails ? std::error_code(fail_with, std::generic_category()) : std::error_code();
     }
 
-    Names kept_;
+    Names durable_names_;
     std::vector<Step> steps_;
     FilePtr open_;
 };
