--- a/include/ochregrade/actions.hpp
+++ b/include/ochregrade/actions.hpp
@@ -1,5 +1,6 @@
-// Actions of the decision library: what Balancer::handle() asks its host to carry out, in order, at the time
-// of the event. A host must be able to carry out all of them; the present decisions use no FetchEndpoints.
+// Actions of the decision library: Balancer::handle() appends them, and its host (sidecar or simulator)
+// carries them out in order at the time of the event. A host must support every action, although the balancer
+// currently never emits FetchEndpoints.
 //
 // All times are milliseconds on the clock of the events.
 #pragma once
@@ -18,32 +19,34 @@
     RequestId id = 0;
     EndpointId endpoint = 0;
     Millis give_up_at = 0;  ///< the host ends the attempt as timed out at this time
-    /// Written whole before this or not at all (not_sent): later the endpoints may have forgotten the key of
-    /// an earlier attempt, and the request would run twice.
+    /// The host writes the complete request before this time, or does not write it and reports not_sent.
+    /// After this time the endpoints may have dropped the idempotency key of an earlier attempt, and the
+    /// request would run twice.
     Millis write_deadline = 0;
 };
 struct CancelAttempt {
     RequestId id = 0;
     std::uint32_t attempt = 0;
 };
-/// Why a request gets its final answer without an endpoint's.
+/// Why a request gets a final response that does not come from an endpoint.
 enum class EndReason {
-    deadline_exceeded,       ///< its deadline has passed
-    no_capacity,             ///< no endpoint may have it within the time that it may be held
-    attempts_exhausted,      ///< the limit on attempts, or one that may have run and may not be repeated
-    retry_budget_exhausted,  ///< a retry would exceed the budget
-    /// Not the library's: requests that were sent behind it on its connection are owed their answers.
+    deadline_exceeded,       ///< the deadline of the request has passed
+    no_capacity,             ///< no endpoint could take the request before its queue deadline
+    attempts_exhausted,      ///< attempt limit reached, or an attempt may have run and must not be repeated
+    retry_budget_exhausted,  ///< a retry would exceed the retry budget
+    /// Set by the sidecar, never by this library: requests pipelined behind this one on the client's
+    /// connection wait for their responses.
     pipelined_requests,
     count
 };
 
-/// Final answer: a retry by the client is harmless.
+/// Sends the final response: rejected; a retry by the client is harmless.
 struct RejectRequest {
     RequestId id = 0;
-    Millis retry_after = 0;  ///< 0: no advice
+    Millis retry_after = 0;  ///< advice to the client, from now on; 0: none
     EndReason reason = EndReason::no_capacity;
 };
-/// Final answer: failed, and it may have run.
+/// Sends the final response: failed; the request may have run.
 struct FailRequest {
     RequestId id = 0;
     EndReason reason = EndReason::no_capacity;
@@ -59,17 +62,17 @@
     EndpointId endpoint = 0;
 };
 struct SendGossip {
-    std::optional<std::uint32_t> to{};  ///< index of a sidecar; none: all of them
+    std::optional<std::uint32_t> to{};  ///< index of the receiving sidecar; none: all sidecars
     std::vector<std::uint8_t> bytes{};
 };
-/// What this sidecar has seen of an endpoint in the last seconds, for the others; it replaces its report
-/// before.
+/// Publishes this sidecar's recent outcomes at an endpoint to the other sidecars. The report replaces this
+/// sidecar's previous report about the endpoint.
 struct PublishEvidence {
     EndpointId endpoint = 0;
-    double successes = 0, failures = 0;  ///< outcomes
-    double latency_ratio = 0;            ///< recent answer time / latency objective; 0: not known
-    bool ejected = false;                ///< it is out of our pool
-    bool recovered = false;              ///< it has just passed its half-open trial
+    double successes = 0, failures = 0;  ///< counts of outcomes
+    double latency_ratio = 0;            ///< recent response time / latency objective; 0: not known
+    bool ejected = false;                ///< this sidecar has ejected the endpoint
+    bool recovered = false;              ///< the endpoint has just passed this sidecar's half-open trial
 };
 struct SubscribeEndpoints {
     bool active = true;
@@ -77,7 +80,7 @@
 struct FetchEndpoints {};
 struct LogMessage {
     std::string text{};
-    std::optional<EndpointId> endpoint{};  ///< the endpoint that it is about
+    std::optional<EndpointId> endpoint{};  ///< the endpoint that the message concerns
 };
 using Action = std::variant<SendAttempt, CancelAttempt, RejectRequest, FailRequest, SetTimer, SendProbe,
                             CloseIdleConnections, SendGossip, SubscribeEndpoints, FetchEndpoints, LogMessage,
--- a/include/ochregrade/balancer.hpp
+++ b/include/ochregrade/balancer.hpp
@@ -1,9 +1,9 @@
-// ochregrade: the decisions of a load-balancing sidecar, without I/O and without a clock.
+// ochregrade: the decision library of a load-balancing sidecar. It performs no I/O and reads no clock.
 //
-// One Balancer serves one sidecar. Feed it every event (events.hpp) in order with the time at which it
-// happened and carry out the actions (actions.hpp) that it appends, in their order, at that same time. Times
-// are milliseconds on any clock that never goes back. Same settings (settings.hpp), seed and events give the
-// same actions.
+// One Balancer serves one sidecar. The host passes every event (events.hpp) in order, with the time at which
+// the event happened, and carries out the actions (actions.hpp) that the Balancer appends, in their order and
+// at the same time. Times are milliseconds on any monotonic clock. The same settings (settings.hpp), seed and
+// events give the same actions.
 #pragma once
 
 #include <cstddef>
@@ -19,23 +19,24 @@
 
 class Balancer {
 public:
-    /// Throws std::invalid_argument naming the invalid setting.
+    /// Throws std::invalid_argument, which names the invalid setting.
     Balancer(Settings settings, std::uint64_t seed);
     ~Balancer();
     Balancer(Balancer&&) noexcept;
     Balancer& operator=(Balancer&&) noexcept;
 
-    /// Appends to actions. Events about unknown or finished things have no effect.
+    /// Appends to actions. An event about an unknown id, or about a request or attempt that has ended, has no
+    /// effect.
     void handle(Millis now, const Event& event, std::vector<Action>& actions);
 
-    /// Requests, endpoints and timers at present: what this instance costs in memory.
+    /// Current numbers of requests, endpoints and timers, which determine the memory use of this instance.
     struct Usage {
         std::size_t requests = 0, endpoints = 0, timers = 0;
-        std::size_t ejected = 0;  ///< endpoints out of the pool, those on trial included
+        std::size_t ejected = 0;  ///< ejected endpoints, including endpoints in their half-open trial
     };
     Usage usage() const;
 
-    /// For a later lifetime, in the order of the endpoints' ids.
+    /// The state to restore in the next run (see StateRestored), in the order of the endpoints' ids.
     std::vector<EndpointSnapshot> snapshot() const;
 
 private:
--- a/include/ochregrade/events.hpp
+++ b/include/ochregrade/events.hpp
@@ -1,7 +1,8 @@
-// Events of the decision library: everything that a sidecar learns, handed to Balancer::handle() in order.
+// Events of the decision library: the input of Balancer::handle(), in order.
 //
-// Input: what the host (sidecar or simulator) saw, with the time at which it happened. All times are
-// milliseconds. Events about unknown or finished things have no effect.
+// The host (sidecar or simulator) creates an event for everything that it observes and passes it with the
+// time at which it happened. All times are milliseconds. An event about an unknown id, or about a request or
+// attempt that has ended, has no effect.
 #pragma once
 
 #include <cstddef>
@@ -20,34 +21,35 @@
     ZoneId zone = 0;
     std::uint32_t cell = 0;
     EndpointState state = EndpointState::serving;
-    Millis started_at = 0;       ///< when it last started; 0: long ago
-    double capacity_weight = 1;  ///< its size against other endpoints, as registered
+    Millis started_at = 0;       ///< time of its last start; 0: long ago
+    double capacity_weight = 1;  ///< registered capacity relative to other endpoints
 };
 
-/// incremental: changed entries only. full: the whole list. cached: the whole list as last known before this
-/// start, possibly stale. failed: a call failed or the subscription broke; the present list stays in force.
+/// incremental: changed entries only. full: the complete endpoint list. cached: the complete list saved by
+/// the previous run, possibly stale. failed: a call to discovery failed or the subscription broke; the
+/// current list stays in force.
 enum class EndpointUpdateKind { incremental, full, cached, failed };
 
 enum class Outcome {
     success,
-    server_error,      ///< the endpoint said so; it may have run
-    overloaded,        ///< turned away unseen; never ran
-    timeout,           ///< no answer in time; may have run or be running
-    connect_failure,   ///< no connection; never ran
-    connection_reset,  ///< connection lost in flight; may have run
-    cancelled,         ///< withdrawn by us; may have run
-    not_sent           ///< not issued at all; never ran
+    server_error,      ///< the endpoint responded with an error; the request may have run
+    overloaded,        ///< the endpoint rejected the request unprocessed; it never ran
+    timeout,           ///< no response in time; the request may have run or still be running
+    connect_failure,   ///< no connection; the request never ran
+    connection_reset,  ///< connection lost while in flight; the request may have run
+    cancelled,         ///< cancelled by this sidecar; the request may have run
+    not_sent           ///< the sidecar did not send the request; it never ran
 };
 
 constexpr std::size_t kOutcomeCount = 8;
 
-/// Whether an attempt that ended so is certain not to have run.
+/// Whether an attempt with this outcome is certain not to have run.
 constexpr bool proves_never_ran(Outcome outcome) {
     return outcome == Outcome::overloaded || outcome == Outcome::connect_failure ||
            outcome == Outcome::not_sent;
 }
 
-/// The first event of a lifetime; a list of kind cached follows.
+/// The first event of a run; an EndpointUpdate of kind cached follows.
 struct Started {};
 struct EndpointUpdate {
     EndpointUpdateKind kind = EndpointUpdateKind::full;
@@ -55,23 +57,24 @@
 };
 struct RequestArrived {
     RequestId id = 0;               ///< never used twice
-    std::uint32_t class_index = 0;  ///< into the settings' classes; out of range: handled with most care
-    Millis time_left = 0;           ///< until the client abandons this try
-    Millis effort = 0;              ///< expected work, 0 if not known
-    bool client_retry = false;      ///< known to be the client's retry
-    SettingsPtr settings{};         ///< in force for it to its end; none: those of the balancer
+    std::uint32_t class_index = 0;  ///< index into Settings::classes; out of range: treated as not idempotent
+    Millis time_left = 0;           ///< until the client stops waiting for the response
+    Millis effort = 0;              ///< expected work; 0: not known
+    bool client_retry = false;      ///< marked by the client as its own retry
+    SettingsPtr settings{};  ///< settings for this request until it ends; none: the balancer's settings
 };
-/// A streamed answer has begun; the attempt belongs to the client from here on.
+/// A streamed response has started to go to the client: from now on the request can be neither retried nor
+/// completed by the balancer.
 struct ResponseStarted {
     RequestId id = 0;
     std::uint32_t attempt = 0;
 };
 struct AttemptEnded {
     RequestId id = 0;
-    std::uint32_t attempt = 0;  ///< attempts of one request count from 0 in the order of their SendAttempt
+    std::uint32_t attempt = 0;  ///< from 0, in the order of the request's SendAttempt actions
     Outcome outcome = Outcome::success;
     Millis duration = 0;
-    bool request_ended = false;  ///< the client has its final answer, by this outcome or before
+    bool request_ended = false;  ///< the client has its final response, from this attempt or an earlier one
 };
 struct ClientDisconnected {
     RequestId id = 0;
@@ -88,34 +91,35 @@
     std::uint32_t from = 0;
     std::vector<std::uint8_t> bytes{};
 };
-/// From here on these are in force. Requests under way keep those they began with; what is known of endpoints
-/// stays. Invalid settings have no effect.
+/// Puts new settings in force. Requests that have already arrived keep the settings under which they arrived;
+/// the state of the endpoints is kept. Invalid settings have no effect.
 struct SettingsChanged {
     SettingsPtr settings{};
 };
-/// What is costly to measure anew about an endpoint.
+/// The state of an endpoint that the next run would have to measure anew with failed or slow requests.
 struct EndpointSnapshot {
     EndpointId endpoint = 0;
-    Millis ejected_for = 0;    ///< what is left of its backoff; 0: it is in the pool
-    double latency_ratio = 0;  ///< recent answer time / latency objective; 0: not known
+    Millis ejected_for = 0;    ///< remaining backoff; 0: not ejected
+    double latency_ratio = 0;  ///< recent response time / latency objective; 0: not known
 };
-/// What an earlier lifetime knew, less the time since. Only about endpoints of which nothing is known yet.
+/// The snapshot of the previous run, with the time since then subtracted from the backoffs. It applies only
+/// to endpoints without outcomes, attempts in flight or an ejection in this run.
 struct StateRestored {
     std::vector<EndpointSnapshot> endpoints{};
 };
-/// What the other sidecars report of an endpoint, added up, of their last 10 s. What was only passed on
-/// counts for an endpoint and not against it.
+/// The sum of the other sidecars' reports about an endpoint, from their last 10 s. Relayed reports count in
+/// favour of an endpoint but not against it.
 struct EndpointEvidence {
     EndpointId endpoint = 0;
-    std::uint32_t successes = 0, failures = 0;  ///< outcomes
-    std::uint32_t reporters = 0;                ///< sidecars that it failed, or that have ejected it,
-    std::uint32_t direct_reporters = 0;         ///< and those of them that reported so themselves
-    std::uint32_t withdrawals = 0;        ///< sidecars that reported themselves that it drains or is gone
-    std::uint32_t recoveries = 0;         ///< sidecars whose half-open trial it has just passed
-    std::uint32_t latency_reporters = 0;  ///< sidecars that reported its latency ratio,
-    double latency_ratio = 0;             ///< and the mean of these
+    std::uint32_t successes = 0, failures = 0;  ///< counts of outcomes
+    std::uint32_t reporters = 0;         ///< sidecars with failed attempts at the endpoint or that ejected it
+    std::uint32_t direct_reporters = 0;  ///< reporters whose report came from themselves, not relayed
+    std::uint32_t withdrawals = 0;       ///< sidecars that reported directly that it is draining or removed
+    std::uint32_t recoveries = 0;        ///< sidecars whose half-open trial has just succeeded
+    std::uint32_t latency_reporters = 0;  ///< sidecars that reported a latency ratio
+    double latency_ratio = 0;             ///< mean of the reported latency ratios
 };
-/// The whole evidence: nothing is reported of an endpoint that is not in it.
+/// The complete evidence: no sidecar reports anything about an endpoint that is not in the list.
 struct FleetEvidence {
     std::vector<EndpointEvidence> endpoints{};
 };
--- a/include/ochregrade/settings.hpp
+++ b/include/ochregrade/settings.hpp
@@ -1,7 +1,8 @@
-// Settings of the decision library: what the operator and the platform's rules fix before a sidecar decides.
+// Settings of the decision library: the values that operators and the platform's rules set, from the
+// sidecar's configuration.
 //
-// Source: the platform's rules of request classes (idempotency, deduplication), of slow start and of
-// discovery, as the sidecar's configuration states them. All times are milliseconds.
+// Source: the platform's rules for request classes (idempotency, deduplication), slow start and discovery.
+// All times are milliseconds.
 #pragma once
 
 #include <cstdint>
@@ -11,57 +12,59 @@
 
 namespace ochregrade {
 
-/// Milliseconds: a span, or a time on any clock that never goes back.
+/// Milliseconds: a span, or a time on any monotonic clock.
 using Millis = double;
-// Endpoints, zones, requests and peers are named by integers that the caller chooses; their values carry no
-// meaning.
+// The caller chooses the integer ids of endpoints, zones, requests and peers; the values have no meaning.
 using EndpointId = std::uint32_t;
 using ZoneId = std::uint32_t;
 using RequestId = std::uint64_t;
-/// Names a timer from its SetTimer to its TimerFired.
+/// Identifies a timer from its SetTimer to its TimerFired.
 using TimerToken = std::uint64_t;
 
-/// Whether a request may run twice: always, within a group of endpoints that drops repeated keys, or never.
+/// Whether a request may be sent again after it may have run: always, only with its idempotency key to
+/// endpoints that drop repeated keys, or never.
 enum class Idempotency { idempotent, idempotent_with_key, not_idempotent };
 
-/// Which endpoints share the memory of keys already seen (for Idempotency::idempotent_with_key).
+/// Which endpoints share their record of idempotency keys (for Idempotency::idempotent_with_key).
 enum class DedupScope { all, zone, cell };
 
 struct RequestClass {
     Idempotency idempotency = Idempotency::not_idempotent;
     DedupScope dedup_scope = DedupScope::cell;
-    Millis dedup_window = 0;  ///< repeats are dropped this long after the first attempt that may have run
-    Millis latency_objective = 1000;  ///< an answer within this counts in full
-    /// The objective grows by this multiple of the request's own effort.
+    /// Endpoints drop repeats for this long after the first attempt that may have run.
+    Millis dedup_window = 0;
+    Millis latency_objective = 1000;  ///< a response within this time has its full value
+    /// The latency objective of a request grows by this multiple of its effort.
     double objective_per_effort = 0;
-    double priority_weight = 1;  ///< of one request, against other classes
+    double priority_weight = 1;  ///< of one request, relative to other classes
 };
 
-/// Prices in shares of the whole result, as operators state them; 0 leaves a matter out of account.
+/// Fees as shares of the total value of the requests, as operators state them; 0: the item is not charged.
 struct Fees {
-    double cross_zone = 0;  ///< for each attempt that leaves the zone
-    double probe = 0;       ///< for each probe, per request
+    double cross_zone = 0;  ///< for each attempt at an endpoint in another zone
+    double probe = 0;       ///< at one probe per request; proportionally more or less otherwise
 };
 
 struct Settings {
     std::vector<RequestClass> classes;  ///< at least one
     std::optional<ZoneId> local_zone;
     std::uint32_t sidecar_count = 1;  ///< sidecars that share these endpoints, this one included
-    std::uint32_t sidecar_index = 0;  ///< of these, from 0
-    bool polled_discovery = false;    ///< the endpoint list must be subscribed to
-    /// A change of the list counts as known four times this after a call that failed; 0: no such rule.
+    std::uint32_t sidecar_index = 0;  ///< index of this sidecar among them, from 0
+    bool polled_discovery = false;    ///< the sidecar must subscribe to the endpoint list
+    /// The platform expects a sidecar to know a list change at the latest four poll intervals after a failed
+    /// call; 0: no such rule.
     Millis poll_interval = 0;
-    std::uint32_t max_attempts = 3;  ///< for one request, the first included
-    bool hedging_allowed = false;    ///< two attempts of one request may be in flight together
+    std::uint32_t max_attempts = 3;  ///< for one request, including the first attempt
+    bool hedging_allowed = false;    ///< two attempts of one request may be in flight at the same time
     bool cancel_allowed = true;      ///< CancelAttempt is permitted
     bool probes_allowed = false;     ///< SendProbe is permitted
-    /// PublishEvidence is carried out and FleetEvidence comes: sidecars pool what they see.
+    /// The sidecars share evidence: the host carries out PublishEvidence and delivers FleetEvidence.
     bool evidence_shared = false;
-    bool gossip_allowed =
-        false;  ///< SendGossip is permitted; then an EndpointId is the same at every sidecar
-    double slow_start_least_share = 1;  ///< share of its capacity of a just started endpoint, 0 to 1
-    Millis slow_start_duration = 0;     ///< it has all of its capacity after this
-    /// Sent more than this multiple of what it can do, a cold endpoint collapses; at least 1.
+    /// SendGossip is permitted; requires that every sidecar uses the same EndpointId for an endpoint.
+    bool gossip_allowed = false;
+    double slow_start_least_share = 1;  ///< slow-start share of an endpoint that has just started, 0 to 1
+    Millis slow_start_duration = 0;     ///< the endpoint has its full capacity after this
+    /// A cold endpoint collapses if its load exceeds this multiple of its slow-start share; at least 1.
     double slow_start_overload_factor = 2;
     Fees fees;
 };
--- a/src/balancer/admission_controller.cpp
+++ b/src/balancer/admission_controller.cpp
@@ -9,19 +9,20 @@
 
 namespace {
 
-// The limit at the start and at most, in attempts: without a bound worth the name.
+// Initial and maximum concurrency limit, in attempts: high enough to be no limit in practice.
 constexpr double kInitialLimit = 1000;
-// Change of the limit, in attempts, for each answer and unit of latency ratio off the target.
+// Change of the concurrency limit, in attempts, per sample and per unit of latency ratio off the target.
 constexpr double kLimitGain = 0.5;
-// Attempts at an endpoint by all sidecars together that admission always leaves.
+// Attempts in flight at each endpoint, by all sidecars together, that admission always allows.
 constexpr double kMinAttemptsPerEndpoint = 4;
-// The share of the limit that is there for every class, however low its weight, and all that client retries
-// get: a retry's objective has been running since its first try.
+// Share of the concurrency limit that is open to every class, whatever its priority weight. Client retries
+// get only this share, because the latency objective of a retried request has been running since the client's
+// first try.
 constexpr double kCommonShare = 0.6;
-// Good ratios count for more the longer none came, on this scale: a sidecar that sheds most of its requests
-// gets few.
+// Time constant of the utilisation: a lower ratio gets more weight the longer ago the last sample was,
+// because a sidecar that sheds most of its requests gets few samples.
 constexpr Millis kUtilisationMemory = 5000;
-// Weight of a peer's report in our own estimate.
+// Weight of a peer's report in this sidecar's utilisation.
 constexpr double kPeerReportWeight = 0.1;
 
 }  // namespace
@@ -38,7 +39,8 @@
 }
 
 void AdmissionController::record_latency_ratio(double ratio) {
-    // Smoothed: one slow answer must not lower the limit of a sidecar with few others to set against it.
+    // The utilisation is smoothed so that a single slow response does not lower the limit of a sidecar that
+    // gets few responses.
     const double staleness =
         ratio < utilisation_ ? 1 - std::exp((updated_at_ - context_.now) / kUtilisationMemory) : 0;
     utilisation_ += (ratio - utilisation_) * std::max(2.0 / kSmoothingWindow, staleness);
@@ -48,7 +50,7 @@
     const double step = kLimitGain * (kTargetLatencyRatio - utilisation_);
     if (step < 0)
         limit_ = std::max(minimum_limit(), std::min(limit_, peak_in_flight_ + 1.0) + step);
-    else if (in_flight_ + 1 > limit_ / 2)  // it only grows while it is used
+    else if (in_flight_ + 1 > limit_ / 2)  // the limit grows only while it is used
         limit_ = std::min(kInitialLimit, limit_ + step);
 }
 
--- a/src/balancer/admission_controller.hpp
+++ b/src/balancer/admission_controller.hpp
@@ -1,9 +1,9 @@
-// Admission controller: a limit on concurrent attempts, and who may use it.
+// Admission controller: an adaptive concurrency limit, and the share of it that each request class may use.
 //
-// Input: latency ratios of answers (without unit), attempts sent and ended, capacity lost. Output: whether a
-// request is admitted now; utilisation, the smoothed latency ratio of the pool. Source: Little's law (a bound
-// on what is in flight bounds the time it takes), adaptive concurrency limits as in Netflix's
-// concurrency-limits.
+// Input: latency ratios of responses (without unit), attempts sent and ended, capacity lost. Output: whether
+// a request is admitted now; utilisation, the smoothed latency ratio of the load-balancing pool. Source:
+// Little's law (a limit on the attempts in flight bounds their response time); adaptive concurrency limits as
+// in Netflix's concurrency-limits.
 #pragma once
 
 #include "balancer/context.hpp"
@@ -16,30 +16,35 @@
 public:
     AdmissionController(Context& context, const EndpointTable& table, const EndpointSubset& subset);
 
-    /// The class of highest priority weight may fill the limit, the others leave it part of theirs. Less than
-    /// one place is given by lot: a sidecar of low traffic, with one request at a time, sheds by it.
+    /// Whether a request is admitted now. Requests of the highest priority weight may use the full
+    /// concurrency limit, all others only a part of it. If the usable part is less than one attempt, it is
+    /// the probability of admission: a sidecar with low traffic, which has one request at a time, sheds load
+    /// by this draw.
     bool admits(double priority_weight, double highest_priority_weight, bool client_retry);
     bool is_full() const { return in_flight_ >= limit_; }
 
     void attempt_sent() { ++in_flight_; }
     void attempt_ended() { --in_flight_; }
 
-    /// Of an answer to one of our own attempts. Adapts the limit.
+    /// Records the latency ratio of one of this sidecar's own attempts and adapts the concurrency limit.
     void record_latency_ratio(double ratio);
-    /// The mean of another sidecar's recent answers.
+    /// Records the mean latency ratio that a peer reports; adapts only the utilisation.
     void record_peer_latency_ratio(double ratio);
-    /// What leaves the pool leaves its load to the others, and no answer shows it yet: the limit shrinks with
-    /// the pool, and grows again if there was some to spare. Capacities in registered weight.
+    /// Lowers the concurrency limit in proportion when capacity leaves the pool: the load of the lost
+    /// endpoints moves to the remaining ones before any response shows it. The limit grows again if the
+    /// remaining endpoints had capacity to spare. Capacities in registered weight.
     void record_capacity_change(double before, double after);
 
-    /// Latency ratio of recent answers.
+    /// Smoothed latency ratio of recent responses.
     double utilisation() const { return utilisation_; }
-    /// Our share of a limit that all sidecars divide among them, for each endpoint; at most 1.
+    /// This sidecar's share of kMinAttemptsPerEndpoint attempts at each endpoint, which all sidecars divide
+    /// among them; at most 1.
     double fleet_share() const;
 
 private:
-    /// Where slow service alone takes that long, rejecting more does not help and idles the endpoints: one
-    /// attempt for each endpoint is always allowed, and with many sidecars our share of a few.
+    /// Lower bound of the concurrency limit: one attempt for each endpoint, or with many sidecars
+    /// fleet_share() for each endpoint. If the service time alone exceeds the target, rejecting more requests
+    /// does not shorten it and leaves endpoints idle.
     double minimum_limit() const;
 
     Context& context_;
@@ -47,7 +52,7 @@
     const EndpointSubset& subset_;
     int in_flight_ = 0;
     double limit_;
-    double peak_in_flight_ = 0;  // of late: a lull must not lower the limit
+    double peak_in_flight_ = 0;  // decaying maximum: a short pause in traffic must not lower the limit
     double utilisation_ = 0;
     Millis updated_at_ = 0;
 };
--- a/src/balancer/attempt_statistics.hpp
+++ b/src/balancer/attempt_statistics.hpp
@@ -1,5 +1,5 @@
-// Attempt statistics: shares of recent attempts that completed, and that did so within their latency
-// objective.
+// Attempt statistics: the share of recent attempts that completed, and the share that completed within their
+// latency objective. Input: the result of each attempt. Output: exponential moving averages, 0 to 1.
 #pragma once
 
 #include "balancer/latency_ratio.hpp"
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -1,10 +1,12 @@
-// Router of the decision library: hands each event to the modules in order. It decides nothing itself.
+// Event dispatcher of the decision library: passes each event to the modules in order and makes no decisions
+// itself.
 //
-// The path of a request: RequestScheduler takes it and sets its timer; AdmissionController says whether there
-// is capacity and EndpointSelector which endpoint gets it; it is sent with the client's deadline, or waits in
-// the queue. When the attempt ends, its outcome goes to admission, gossip, shared evidence and outlier
-// detection, in that order, and the request is scheduled again or completed. RequestScheduler::complete() is
-// the only final answer; nothing is sent or rejected without RetryPolicy::may_send() and may_reject().
+// The path of a request: RequestScheduler accepts the request and sets the timer of its deadline.
+// AdmissionController decides whether there is capacity, and EndpointSelector selects the endpoint. The
+// request is then sent with the client's deadline, or it waits in the queue. When the attempt ends, its
+// outcome goes to admission, gossip, shared evidence and outlier detection, in that order, and the request is
+// scheduled again or completed. Only RequestScheduler::complete() makes the library send a final response.
+// Every attempt requires RetryPolicy::may_send(), and every rejection requires RetryPolicy::may_reject().
 #include "ochregrade/balancer.hpp"
 
 #include <algorithm>
@@ -48,21 +50,21 @@
         context.settings = event.settings;
         if (!context.settings->evidence_shared) evidence.forget_fleet();
         if (subscribe) watch.subscribe();
-        scheduler.schedule_queued();  // our share of the fleet's concurrency may have grown
+        scheduler.schedule_queued();  // this sidecar's share of the concurrency limit may have grown
     }
 
     void on(const EndpointUpdate& update) {
         if (update.kind == EndpointUpdateKind::failed) return watch.schedule_retry();
         const double capacity_before = endpoints.capacity(slow_start);
         endpoints.apply(update);
-        if (watch.has_current_list())  // a cached list is no measure of the load
+        if (watch.has_current_list())  // the step from a cached, possibly stale list is no change of capacity
             admission.record_capacity_change(capacity_before, endpoints.capacity(slow_start));
         watch.list_received(update.kind);
         for (const EndpointId id : endpoints.gone()) erase_if_gone(id);
         scheduler.schedule_queued();
     }
 
-    // Requests that wait for a probe of it are scheduled without it.
+    // Requests that wait for a probe of the erased endpoint are scheduled without that probe.
     void erase_if_gone(EndpointId id) {
         if (!endpoints.erase_if_gone(id)) return;
         for (const RequestId request : races.take_waiters(id)) scheduler.probe_ended(request, nullptr);
@@ -102,8 +104,9 @@
         attempt.may_have_run = !proves_never_ran(event.outcome);
         if (EndpointRecord* endpoint = endpoints.find(attempt.endpoint)) {
             record_outcome(*endpoint, *request, attempt, event);
-            // Idle connections of many sidecars fill an endpoint's table: it slows down and then turns new
-            // ones away. With low traffic the next request comes so late that opening one anew costs less.
+            // Idle connections of many sidecars fill an endpoint's connection table: the endpoint slows down
+            // and then refuses new connections. With low traffic, the next request comes so late that opening
+            // a new connection costs less than holding an idle one.
             if (endpoint->in_flight == 0 && subset.is_traffic_low())
                 context.act(CloseIdleConnections{attempt.endpoint});
             erase_if_gone(attempt.endpoint);
@@ -141,14 +144,15 @@
 
     void record_latency_ratio(EndpointRecord& endpoint, double ratio, bool success) {
         smooth(endpoint.latency_ratio, ratio);
-        // A cold endpoint is slow by nature, and where others get no answer either it is not the pool's load.
+        // Two kinds of samples do not show the load of the pool: a cold endpoint is slow anyway, and a
+        // failure at a suspected endpoint is a fault of that endpoint.
         if (slow_start.is_cold(endpoint) || (!success && gossip.suspicion(endpoint) > 0)) return;
         load_reports.record_latency_ratio(ratio);
         admission.record_latency_ratio(ratio);
     }
 
-    // Connections that do not come up show lost capacity seconds before the list does. The subset stands for
-    // the whole list: this sidecar meets no others.
+    // Failed connections show lost capacity seconds before the endpoint list does. The capacity change is
+    // computed over the endpoint subset, because this sidecar sends nothing to other endpoints.
     void record_reachability(EndpointRecord& endpoint, bool reachable) {
         if (endpoint.reachable == reachable) return;
         endpoint.reachable = reachable;
@@ -158,7 +162,8 @@
         admission.record_capacity_change(others + own, others);
     }
 
-    // Without a retry budget each request asks an overloaded pool as often as the limits allow.
+    // Ends or reschedules a request after one of its attempts has ended. Without the retry budget, each
+    // request would be sent to an overloaded pool as often as the attempt limit allows.
     void continue_request(Request& request, bool client_has_answer) {
         if (client_has_answer) request.ended = true;
         if (request.ended) requests.note_ended(request.id);
--- a/src/balancer/context.hpp
+++ b/src/balancer/context.hpp
@@ -1,8 +1,8 @@
-// What every module of the decision library is handed: the settings in force, the time of the event under
-// way, the random source and the actions of that event. Milliseconds on the caller's clock.
+// Context shared by the modules of the decision library: the settings in force, the random source, and the
+// time (milliseconds on the caller's clock) and the actions of the current event.
 //
-// The order of random draws is part of the library's behaviour: same settings, seed and events give the same
-// actions.
+// The order of random draws is part of the library's behaviour: the same settings, seed and events give the
+// same actions.
 #pragma once
 
 #include <utility>
@@ -19,11 +19,12 @@
 
     void act(Action action) { actions->push_back(std::move(action)); }
 
-    /// In force now: our index among the sidecars, slow start, what may be sent to peers. What concerns a
-    /// single request (classes, fees, attempts, permissions) is read from the settings that it began with.
+    /// The settings in force now, for everything that does not concern a single request: sidecar index and
+    /// count, slow start, messages to peers. Classes, fees, attempt limits and permissions of a request come
+    /// from Request::settings, the settings under which the request arrived.
     SettingsPtr settings;
     Random random;
-    Millis now = 0;  ///< never goes back
+    Millis now = 0;  ///< time of the current event; never decreases
     std::vector<Action>* actions = nullptr;
 };
 
--- a/src/balancer/ejection_state.hpp
+++ b/src/balancer/ejection_state.hpp
@@ -1,8 +1,8 @@
-// Ejection state of one endpoint: the window of its last outcomes and its place in the cycle available,
-// ejected, half-open. outlier_detection decides when it changes. Times are milliseconds.
+// Ejection state of one endpoint: the window of its last outcomes, and whether it is available, ejected or
+// half-open. OutlierDetection decides when the state changes. Times are milliseconds.
 //
-// Source: io.l5d.successRate, Linkerd's success-rate failure accrual, with the figures its authors showed;
-// the half-open trial is that of a circuit breaker.
+// Source: io.l5d.successRate, Linkerd's success-rate failure accrual, with the constants that its authors
+// published; the half-open trial is that of a circuit breaker.
 #pragma once
 
 #include <algorithm>
@@ -13,11 +13,11 @@
 
 namespace ochregrade::detail {
 
-/// Outcomes in a window.
+/// Number of outcomes in a window.
 constexpr int kOutcomeWindow = 20;
 /// Success share of a window below which an endpoint is ejected.
 constexpr double kSuccessThreshold = 0.9;
-/// From an ejection to the half-open trial.
+/// Time from an ejection to the half-open trial.
 constexpr Millis kEjectionBackoff = 10000;
 
 class EjectionState {
@@ -25,7 +25,7 @@
     bool is_available() const { return health_ == Health::available; }
     bool is_ejected() const { return health_ == Health::ejected; }
     bool is_half_open() const { return health_ == Health::half_open; }
-    /// Its backoff is over: the next request is its half-open trial.
+    /// Whether the backoff has expired, so that the endpoint's next request is its half-open trial.
     bool is_trial_due(Millis now) const { return is_ejected() && now >= backoff_until_; }
     bool is_ejected_by_fleet() const { return ejected_by_fleet_; }
     Millis backoff_until() const { return backoff_until_; }
@@ -37,7 +37,7 @@
         window_ = (window_ << 1 | (success ? 1 : 0)) & ((1u << kOutcomeWindow) - 1);
         outcomes_ = std::min(outcomes_ + 1, kOutcomeWindow);
     }
-    /// by_fleet: on the evidence of other sidecars alone.
+    /// by_fleet: ejected on the evidence of other sidecars alone.
     void eject(Millis until, bool by_fleet) {
         health_ = Health::ejected;
         backoff_until_ = until;
@@ -45,9 +45,9 @@
     }
     void set_backoff_until(Millis until) { backoff_until_ = until; }
     void begin_trial() { health_ = Health::half_open; }
-    /// The trial ended undecided: the next request is another one.
+    /// The trial ended without success or failure: the endpoint's next request is another trial.
     void abandon_trial() { health_ = Health::ejected; }
-    /// Available, with an empty window.
+    /// Makes the endpoint available with an empty window.
     void reset() {
         health_ = Health::available;
         window_ = 0;
@@ -58,7 +58,7 @@
     enum class Health { available, ejected, half_open };
 
     Health health_ = Health::available;
-    std::uint32_t window_ = 0;  // a bit for each of the last outcomes, set for success
+    std::uint32_t window_ = 0;  // one bit per outcome, the latest in bit 0; set for success
     int outcomes_ = 0;
     Millis backoff_until_ = 0;
     bool ejected_by_fleet_ = false;
--- a/src/balancer/endpoint_selector.cpp
+++ b/src/balancer/endpoint_selector.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-// Utilisation (latency ratio) above which the nearest endpoint is no longer preferred: well above an idle
-// pool.
+// Utilisation (latency ratio) above which endpoints of the local zone are no longer preferred: well above the
+// utilisation of an idle pool.
 constexpr double kMaxLocalUtilisation = 0.35;
-// Share of its draw weight that is left to an endpoint that a quorum reports as slow.
+// Factor on the draw weight of an endpoint that a quorum reports as slow.
 constexpr double kSlowWeight = 0.5;
 
 }  // namespace
@@ -32,7 +32,8 @@
     return from_.retry_policy.may_send(request, endpoint) && from_.slow_start.admits(endpoint);
 }
 
-// Where crossing zones costs and the pool is not overloaded, one of the two is of our own zone.
+// Chooses between two randomly drawn endpoints. If cross-zone attempts have a fee and the pool is not
+// overloaded, one of the two is drawn from the local zone.
 Selection EndpointSelector::choose(const Request& request, const Candidates& candidates) const {
     const Settings& settings = *request.settings;
     EndpointRecord* first = draw(candidates, nullptr);
@@ -60,8 +61,9 @@
     return local;
 }
 
-// The nearer one wins ties, and with one request more where our share of the fee exceeds the chance of a late
-// answer: one more from each of many sidecars is a queue.
+// Whether the second endpoint is less loaded. An endpoint of the local zone wins ties. It also wins with one
+// attempt more in flight if this sidecar's share of the cross-zone fee exceeds the probability of a late
+// response; only the share counts, because one more attempt from each of many sidecars builds a queue.
 bool EndpointSelector::is_second_better(const EndpointRecord& first, const EndpointRecord& second,
                                         double suspicion_difference, bool first_is_nearer,
                                         const Settings& settings) const {
@@ -74,8 +76,8 @@
     return !first_is_nearer && second.latency_ratio < first.latency_ratio;
 }
 
-// Where every queue of ours is empty, the draw alone decides, and equal chances would flood the small
-// endpoints. What is suspected is drawn the more seldom.
+// Weight of an endpoint in the random draw. If this sidecar has no attempts in flight, the draw alone
+// decides, and equal probabilities would overload endpoints of low capacity. Suspicion lowers the weight.
 double EndpointSelector::draw_weight(const EndpointRecord& endpoint) const {
     const double suspicion = from_.gossip.suspicion(endpoint);
     return endpoint.info.capacity_weight / ((1 + suspicion) * (1 + suspicion)) *
--- a/src/balancer/endpoint_selector.hpp
+++ b/src/balancer/endpoint_selector.hpp
@@ -1,7 +1,8 @@
-// Endpoint selector: which endpoint gets an attempt.
+// Endpoint selector: selects the endpoint for an attempt.
 //
-// Input: a request and the endpoints in use. Output: an endpoint, a probe race between two, or none. Owns no
-// state; draws from the random source. Source: power of two choices (Mitzenmacher), weighted by capacity.
+// Input: a request and the endpoint subset. Output: an endpoint, two endpoints for a probe race, or none. The
+// selector has no state of its own; it draws from the random source. Source: power of two choices
+// (Mitzenmacher), weighted by capacity.
 #pragma once
 
 #include <vector>
@@ -17,9 +18,9 @@
 namespace ochregrade::detail {
 
 enum class SelectionKind {
-    none,       ///< no endpoint may have it now
-    endpoint,   ///< Selection::first gets it
-    probe_race  ///< Selection::first and second are to be probed for it
+    none,       ///< no endpoint can take the request now
+    endpoint,   ///< Selection::first gets the request
+    probe_race  ///< Selection::first and Selection::second are to be probed for the request
 };
 
 struct Selection {
@@ -30,7 +31,7 @@
 
 class EndpointSelector {
 public:
-    /// The modules that it reads; they outlive it.
+    /// The modules that the selector reads; they outlive it.
     struct Sources {
         Context& context;
         const EndpointSubset& subset;
@@ -42,10 +43,12 @@
     };
     explicit EndpointSelector(const Sources& sources) : from_(sources) {}
 
-    /// An endpoint whose backoff is over gets the request as its half-open trial. Else the less loaded of two
-    /// drawn; one not yet tried goes before one that was.
+    /// An endpoint whose backoff has expired gets the request as its half-open trial. Otherwise the less
+    /// loaded of two randomly drawn endpoints gets the request. Endpoints that the request has already tried
+    /// are drawn only if there are no others.
     Selection select(const Request& request) const;
-    /// Whether the rules and slow start let the endpoint have an attempt of the request. Draws for cold ones.
+    /// Whether the retry policy and slow start allow an attempt of the request at the endpoint. Draws a
+    /// random number if the endpoint is cold.
     bool may_use(const Request& request, const EndpointRecord& endpoint) const;
 
 private:
--- a/src/balancer/endpoint_subset.cpp
+++ b/src/balancer/endpoint_subset.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-// Each endpoint in use gets a request about as often,
+// Target time between two requests of this sidecar to the same endpoint.
 constexpr Millis kReuseInterval = 600;
-// but no fewer endpoints are used.
+// Minimum number of endpoints in the subset.
 constexpr double kMinSubset = 12;
-// A connection not expected to be used within this is closed.
+// A connection is closed if the next request to its endpoint is not expected within this time.
 constexpr Millis kConnectionReuse = 4000;
 
 }  // namespace
@@ -45,7 +45,7 @@
     double missing = all.empty() ? 0 : size() * table_.in_service_weight() / static_cast<double>(all.size());
     const std::size_t start =
         all.size() * (settings.sidecar_index % settings.sidecar_count) / settings.sidecar_count;
-    // Those after the arc make up for what is ejected, and for what a cold endpoint cannot do yet.
+    // The arc is extended to replace the capacity of ejected endpoints and the missing capacity of cold ones.
     for (std::size_t i = 0; i < all.size() && missing > 0; ++i) {
         EndpointRecord* endpoint = used.emplace_back(all[(start + i) % all.size()]);
         if (!endpoint->ejection.is_available()) continue;
--- a/src/balancer/endpoint_subset.hpp
+++ b/src/balancer/endpoint_subset.hpp
@@ -1,12 +1,14 @@
-// Endpoint subset: which part of the list this sidecar uses.
+// Endpoint subset: the part of the endpoint list that this sidecar uses.
 //
-// Input: arrivals of requests and the endpoint table. Output: the endpoints in use, by size as many as one
-// asks about once in kReuseInterval, and how sparse the traffic to each is. Source: deterministic subsetting,
-// as in Google's SRE book, "Load Balancing in the Datacenter".
+// Input: arrivals of requests and the endpoint table. Output: the endpoints of the subset, and how sparse the
+// traffic to each of them is. The size of the subset is such that each of its endpoints gets about one
+// request per kReuseInterval. Source: deterministic subsetting, as in Google's SRE book, "Load Balancing in
+// the Datacenter".
 //
-// A few requests spread over many endpoints make no outcome window, no queue and no connection worth keeping.
-// So a sidecar uses an arc of the list in the order of ids, which is the same everywhere. The arcs start
-// evenly apart, so that all endpoints are in as many.
+// If a sidecar spread a few requests over many endpoints, no outcome window would fill, no queue would form
+// and no connection would be reused. A sidecar therefore uses a contiguous arc of the list in the order of
+// ids, which is the same at every sidecar. The starts of the sidecars' arcs are evenly spaced, so that every
+// endpoint is in the same number of subsets.
 #pragma once
 
 #include <vector>
@@ -23,25 +25,26 @@
         : context_(context), table_(table), slow_start_(slow_start) {}
 
     void record_arrival();
-    /// Those in use, from the start of our arc on.
+    /// The endpoints of the subset, from the start of this sidecar's arc.
     std::vector<EndpointRecord*> endpoints() const;
-    /// Capacity of those in use that are available and reachable, except one.
+    /// Capacity of the available and reachable endpoints of the subset, except the given one.
     double reachable_capacity_besides(const EndpointRecord& excluded) const;
 
-    /// A window takes longer to fill than a backoff lasts: on its own this sidecar learns too late of
-    /// outliers.
+    /// Whether an outcome window takes longer to fill than a backoff lasts: from its own outcomes alone, this
+    /// sidecar then detects outliers too late.
     bool is_traffic_sparse() const;
-    /// Our own queues tell nothing: an endpoint gets our next request only after seconds.
+    /// Whether this sidecar sends an endpoint its next request only after seconds: its own attempts in flight
+    /// then say nothing about the endpoint's load.
     bool is_traffic_low() const;
 
 private:
-    /// How many endpoints, if all were of the same size.
+    /// Number of endpoints in the subset if all had the same capacity weight.
     double size() const;
 
     const Context& context_;
     const EndpointTable& table_;
     const SlowStart& slow_start_;
-    Millis last_arrival_ = -1;  // none yet
+    Millis last_arrival_ = -1;  // negative: no arrival yet
     Millis interarrival_ = 0;   // smoothed; 0: not known
 };
 
--- a/src/balancer/endpoint_table.cpp
+++ b/src/balancer/endpoint_table.cpp
@@ -15,13 +15,13 @@
     const auto [entry, is_new] = records_.try_emplace(info.id);
     EndpointRecord& record = entry->second;
     if (is_new || info.started_at > record.info.started_at) {
-        // Another process under the same id: its record starts anew.
+        // A new or restarted process: nothing is known about its failures or whether it can be reached.
         record.ejection.reset();
         record.evidence.reset();
         record.reachable = true;
     }
     record.info = info;
-    if (!(record.info.capacity_weight > 0)) record.info.capacity_weight = 1;  // invalid: as if unknown
+    if (!(record.info.capacity_weight > 0)) record.info.capacity_weight = 1;  // invalid: the default
     record.listed = info.state != EndpointState::gone;
 }
 
--- a/src/balancer/endpoint_table.hpp
+++ b/src/balancer/endpoint_table.hpp
@@ -1,8 +1,8 @@
-// Endpoint table: who is listed, who is in service and how much capacity that is.
+// Endpoint table: which endpoints are listed, which are in service (listed and serving), and their capacity.
 //
 // Input: endpoint updates of discovery. Output: a record for each endpoint that is listed or has attempts in
-// flight, in the order of ids, and the index of those in service. Capacity is in units of registered capacity
-// weight.
+// flight, in the order of ids, and an index of the endpoints in service. Capacity is in units of registered
+// capacity weight.
 #pragma once
 
 #include <map>
@@ -17,16 +17,17 @@
 
 class SlowStart;
 
-/// All that is known of an endpoint. The states at the end belong to the modules named after them, which
-/// alone change them.
+/// All state about an endpoint. OutlierDetection owns ejection, FailureGossip owns suspicion and
+/// SharedEvidence owns evidence. Two changes come from other modules: SharedEvidence may shorten the backoff
+/// of an ejection, and EndpointTable resets ejection and evidence when the endpoint has restarted.
 struct EndpointRecord {
     bool is_serving() const { return listed && info.state == EndpointState::serving; }
 
     Endpoint info;
     bool listed = true;
-    int in_flight = 0;         ///< attempts of this sidecar
-    double latency_ratio = 0;  ///< of recent answers; 0: not known
-    bool reachable = true;     ///< its last connection came up
+    int in_flight = 0;         ///< attempts of this sidecar in flight
+    double latency_ratio = 0;  ///< mean of recent responses; 0: not known
+    bool reachable = true;     ///< whether the last attempt to connect succeeded
     EjectionState ejection;
     Suspicion suspicion;
     EvidenceState evidence;
@@ -36,14 +37,15 @@
 public:
     using Records = std::map<EndpointId, EndpointRecord>;
 
-    /// Not for updates of kind failed. Endpoints that are gone stay until erase_if_gone().
+    /// Must not be called for updates of kind failed. The records of removed endpoints stay until
+    /// erase_if_gone().
     void apply(const EndpointUpdate& update);
-    /// Ids of those not listed and without attempts in flight, in order.
+    /// Ids of the removed endpoints without attempts in flight, in order.
     std::vector<EndpointId> gone() const;
-    /// Whether it was gone and has been erased.
+    /// Erases the record if the endpoint is removed and has no attempts in flight; returns whether it did.
     bool erase_if_gone(EndpointId id);
 
-    /// Null if not known.
+    /// Null if the id is unknown.
     EndpointRecord* find(EndpointId id) {
         const auto record = records_.find(id);
         return record == records_.end() ? nullptr : &record->second;
@@ -53,11 +55,11 @@
     std::size_t size() const { return records_.size(); }
     std::size_t listed_count() const;
 
-    /// Listed and serving, in the order of ids: no other endpoint is drawn. A long list is walked once for
-    /// each change of it, not for each request.
+    /// The endpoints that are listed and serving, in the order of ids; only these can get requests. The index
+    /// is rebuilt on a list change, so that a request does not walk the complete list.
     const std::vector<EndpointRecord*>& in_service() const { return in_service_; }
     double in_service_weight() const { return in_service_weight_; }
-    /// Of those in service, less what cold ones cannot do yet.
+    /// Capacity of the endpoints in service; a cold endpoint counts with its slow-start share.
     double capacity(const SlowStart& slow_start) const;
 
 private:
--- a/src/balancer/endpoint_watch.cpp
+++ b/src/balancer/endpoint_watch.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-// Wait after the first failed call, and the longest, each between half and one and a half of it. A change
-// counts as known 6 s after discovery can be reached again: half of that is left to the next call.
+// Delay after the first failed call, and the longest delay; jitter multiplies each by 0.5 to 1.5. The
+// platform expects a sidecar to know a list change 6 s after discovery is reachable again. The longest delay
+// with jitter is half of that, which leaves the other half to the next call.
 constexpr Millis kFirstRetryDelay = 1000, kMaxRetryDelay = 2000;
 
 }  // namespace
@@ -29,8 +30,9 @@
     has_current_list_ = true;
 }
 
-// Four poll intervals after a failed call a change counts as known: a delay, half as long again at most,
-// leaves half of that time to the call.
+// The longest delay before jitter. The platform expects a sidecar to know a list change four poll intervals
+// after a failed call. Jitter makes the delay at most half as long again, that is two poll intervals, which
+// leaves the other half of the time to the call.
 Millis EndpointWatch::longest_delay() const {
     const Millis poll_interval = context_.settings->poll_interval;
     if (poll_interval <= 0) return kMaxRetryDelay;
--- a/src/balancer/endpoint_watch.hpp
+++ b/src/balancer/endpoint_watch.hpp
@@ -1,7 +1,7 @@
-// Endpoint watch: when to ask discovery for the list again.
+// Endpoint watch: when to subscribe to discovery's endpoint list, and when to retry after a failed call.
 //
-// Input: updates and failed calls of discovery. Output: SubscribeEndpoints, and a timer after a failed call:
-// exponential backoff with jitter, milliseconds. Owns the backoff.
+// Input: updates and failed calls of discovery. Output: SubscribeEndpoints, and after a failed call a timer
+// with exponential backoff and jitter (milliseconds). Owns the backoff.
 #pragma once
 
 #include "balancer/context.hpp"
@@ -15,11 +15,12 @@
     EndpointWatch(Context& context, Timers& timers);
 
     void subscribe();
-    /// The retry must not come in step with other sidecars: the list is one service for all.
+    /// Sets the timer of the next call after a failed one. Jitter keeps the sidecars from retrying at the
+    /// same time, since all of them call the same discovery service.
     void schedule_retry();
-    /// Not for updates of kind failed.
+    /// Must not be called for updates of kind failed.
     void list_received(EndpointUpdateKind kind);
-    /// Whether a list other than a cached one has come.
+    /// Whether a list has arrived in this run, other than the cached list.
     bool has_current_list() const { return has_current_list_; }
 
 private:
@@ -27,7 +28,7 @@
 
     Context& context_;
     Timers& timers_;
-    Millis delay_;  // after the next failed call
+    Millis delay_;  // delay after the next failed call, before jitter
     bool has_current_list_ = false;
 };
 
--- a/src/balancer/evidence_state.hpp
+++ b/src/balancer/evidence_state.hpp
@@ -1,5 +1,5 @@
-// Evidence about one endpoint: our own recent outcomes (decaying counts), what the other sidecars report, and
-// what we published of it last. shared_evidence decides on it. Times are milliseconds.
+// Evidence about one endpoint: this sidecar's own recent outcomes (decaying counts), the reports of the other
+// sidecars, and the time of this sidecar's last report. SharedEvidence acts on it. Times are milliseconds.
 #pragma once
 
 #include <cmath>
@@ -10,18 +10,19 @@
 
 namespace ochregrade::detail {
 
-/// So many sidecars that report for themselves are believed.
+/// Number of direct reporters whose reports are acted on.
 constexpr std::uint32_t kEvidenceQuorum = 3;
-/// In this time an outcome loses all but a third (1/e) of its weight.
+/// Time constant of the decaying counts: after this time an outcome has about a third (1/e) of its weight
+/// left.
 constexpr Millis kEvidenceDecay = 5000;
-/// Evidence that stays true is published again after this.
+/// Evidence that has not changed is published again after this time.
 constexpr Millis kRefreshInterval = 5000;
-/// The latency ratio from which an endpoint is reported as slow, and below which it no longer is.
+/// The latency ratio above which an endpoint becomes slow, and the one down to which it stays slow.
 constexpr double kSlowRatio = 1, kNormalRatio = 0.8;
 
 class EvidenceState {
 public:
-    /// What the others report, added up.
+    /// The sum of the other sidecars' reports.
     const EndpointEvidence& fleet() const { return fleet_; }
     void set_fleet(const EndpointEvidence& evidence) { fleet_ = evidence; }
     bool is_reported_failing() const { return fleet_.reporters > 0; }
@@ -29,11 +30,12 @@
         return fleet_.latency_reporters >= kEvidenceQuorum && fleet_.latency_ratio > kSlowRatio;
     }
 
-    /// On the others' lists it drains or is gone: no new request goes to it.
+    /// Whether the endpoint is draining or removed on the lists of other sidecars; it then gets no new
+    /// request.
     bool is_withdrawn() const { return withdrawn_; }
     void set_withdrawn(bool withdrawn) { withdrawn_ = withdrawn; }
 
-    /// Our own recent outcomes, as of the last decay; failures are errors, not late answers.
+    /// This sidecar's own recent outcomes, as of the last decay. Late responses do not count as failures.
     double successes() const { return successes_; }
     double failures() const { return failures_; }
     void count(Millis now, double successes, double failures) {
@@ -50,7 +52,7 @@
     void set_published_at(Millis now) { published_at_ = now; }
 
     bool is_slow() const { return slow_; }
-    /// Whether the endpoint has become slow, or normal, by this.
+    /// Updates is_slow(); returns whether it changed.
     bool update_slow(double latency_ratio) {
         const bool slow = latency_ratio > (slow_ ? kNormalRatio : kSlowRatio);
         const bool changed = slow != slow_;
@@ -62,7 +64,7 @@
         fleet_ = {};
         withdrawn_ = false;
     }
-    /// Another process runs under the same id: what was seen of the former one says nothing.
+    /// Another process runs under the same endpoint id: clears the evidence about the previous process.
     void reset() {
         successes_ = failures_ = 0;
         slow_ = false;
--- a/src/balancer/failure_gossip.cpp
+++ b/src/balancer/failure_gossip.cpp
@@ -8,13 +8,14 @@
 
 namespace {
 
-// One peer in so many gets a report, and at most so many peers: from all sidecars together each peer gets as
-// many, in a fleet of any size.
+// One sidecar in kSidecarsPerReport gets a report of each failure, but at most kMaxReports do. The maximum
+// keeps the number of messages that each sidecar sends and receives constant in a fleet of any size.
 constexpr std::uint32_t kSidecarsPerReport = 4;
 constexpr std::uint32_t kMaxReports = 88;
-// Fewer failures say nothing: one now and then is no reason to load the other endpoints.
+// Number of failures from which an endpoint is suspected: an occasional failure is no reason to put load on
+// the other endpoints.
 constexpr double kMinSuspicion = 2;
-// An endpoint's id.
+// Length of a message, which is an endpoint's id.
 constexpr std::size_t kMessageBytes = 4;
 
 }  // namespace
@@ -22,7 +23,8 @@
 double FailureGossip::suspicion(const EndpointRecord& endpoint) const {
     double failures = endpoint.suspicion.at(context_.now);
     const EndpointEvidence& evidence = endpoint.evidence.fleet();
-    if (evidence.direct_reporters >= kEvidenceQuorum)  // how many, and how much they saw
+    // A quorum of direct reporters adds its number, multiplied by the share of failures among its outcomes.
+    if (evidence.direct_reporters >= kEvidenceQuorum)
         failures = std::min(kMaxSuspicion, failures + evidence.direct_reporters * (evidence.failures + 1.0) /
                                                           (evidence.failures + evidence.successes + 1.0));
     return failures >= kMinSuspicion && subset_.is_traffic_sparse() ? failures : 0;
--- a/src/balancer/failure_gossip.hpp
+++ b/src/balancer/failure_gossip.hpp
@@ -1,13 +1,15 @@
-// Failure gossip: suspicion of endpoints from our own failures and those that peers report.
+// Failure gossip: suspicion of endpoints, from this sidecar's own failed attempts and from those that peers
+// report.
 //
 // Input: attempts that failed or succeeded, messages of peers. Output: suspicion, a decayed count of failures
-// (0 where it says nothing); messages of four bytes, the endpoint's id in network byte order. Source: SWIM's
-// suspicion, uniform gossip.
+// (0 if too few to be significant); messages of four bytes, the endpoint's id in network byte order. Source:
+// SWIM's suspicion, uniform gossip.
 //
-// Among many endpoints a sidecar meets a faulty one too seldom to know it, all sidecars together meet it all
-// the time. Suspicion makes an endpoint rarer in the draw and breaks ties between equal queues, no more; a
-// success halves it, and it decays within a backoff: lost, false or malformed messages do little harm. Late
-// answers are not reported: under overload all are late.
+// Among many endpoints, a single sidecar sends requests to a faulty endpoint too seldom to detect it, whereas
+// all sidecars together do so all the time. Suspicion only lowers the probability that an endpoint is drawn
+// and breaks ties between equal numbers of attempts in flight. A success halves the suspicion, and it decays
+// on the time scale of an ejection backoff. Lost, false or malformed messages therefore do little harm. Late
+// responses are not reported, because under overload all responses are late.
 #pragma once
 
 #include "balancer/context.hpp"
@@ -20,12 +22,14 @@
 public:
     FailureGossip(Context& context, const EndpointSubset& subset) : context_(context), subset_(subset) {}
 
-    /// 0 where it says nothing, at most kMaxSuspicion.
+    /// Decayed count of failures, at most kMaxSuspicion; 0 if too few to be significant or if this sidecar's
+    /// own traffic fills its outcome windows in time.
     double suspicion(const EndpointRecord& endpoint) const;
     void record_success(EndpointRecord& endpoint) const;
-    /// Tells some peers too.
+    /// Raises the suspicion of the endpoint and reports the failure to some peers.
     void record_failure(EndpointRecord& endpoint);
-    /// Messages of other lengths and about unknown endpoints have no effect.
+    /// Raises the suspicion of the endpoint that the message names. A message of another length or about an
+    /// unknown endpoint has no effect.
     void receive(const GossipReceived& message, EndpointTable& table) const;
 
 private:
--- a/src/balancer/latency_ratio.hpp
+++ b/src/balancer/latency_ratio.hpp
@@ -1,5 +1,5 @@
-// Latency ratio: the time of an answer divided by the latency objective of its request, without unit. The
-// common measure of how loaded an endpoint or the pool is, whatever the mix of request classes.
+// Latency ratio: the response time divided by the latency objective of the request, without unit. It measures
+// the load of an endpoint or of the load-balancing pool independently of the mix of request classes.
 #pragma once
 
 #include <algorithm>
@@ -9,19 +9,21 @@
 
 namespace ochregrade::detail {
 
-/// Admission aims at a mean answer in this share of its objective: more makes the slower answers late, less
-/// leaves endpoints idle.
+/// The mean latency ratio that admission aims at: a higher target makes the slower responses late, a lower
+/// one leaves endpoints idle.
 constexpr double kTargetLatencyRatio = 0.55;
-/// A timeout or an overloaded endpoint counts as this much, and no answer counts for more.
+/// The latency ratio of a timeout or of an attempt with outcome overloaded, and the upper bound of all
+/// others.
 constexpr double kMaxLatencyRatio = 1.5;
 
-/// Samples in a window of a running mean.
+/// Window of the exponential moving averages, in samples.
 constexpr int kSmoothingWindow = 20;
 
-/// A running mean in which about the last half window of samples counts.
+/// Updates an exponential moving average with weight 2 / kSmoothingWindow: about the last half window of
+/// samples counts.
 inline void smooth(double& mean, double sample) { mean += (sample - mean) * 2 / kSmoothingWindow; }
 
-/// None where the outcome says nothing about load.
+/// The latency ratio of an attempt; none if its outcome says nothing about the load.
 inline std::optional<double> latency_ratio_of(Outcome outcome, Millis duration, Millis objective) {
     if (outcome == Outcome::success) return std::min(kMaxLatencyRatio, duration / objective);
     if (outcome == Outcome::timeout || outcome == Outcome::overloaded) return kMaxLatencyRatio;
--- a/src/balancer/load_reports.cpp
+++ b/src/balancer/load_reports.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-// Answers in a report.
+// Samples in a report.
 constexpr int kAnswersPerReport = 10;
-// One peer in so many gets a report, and at most so many peers.
+// One sidecar in kSidecarsPerReport gets a report, but at most kMaxReports do.
 constexpr std::uint32_t kSidecarsPerReport = 16;
 constexpr std::uint32_t kMaxReports = 22;
 constexpr double kHundredths = 100;
--- a/src/balancer/load_reports.hpp
+++ b/src/balancer/load_reports.hpp
@@ -1,10 +1,11 @@
-// Load reports: the mean latency ratio of our last answers, told to some peers.
+// Load reports: sends the mean latency ratio of this sidecar's last responses to some peers.
 //
-// Input: latency ratios of our answers, messages of peers. Output: messages of one byte, the mean in
-// hundredths; the ratios that peers report. Owns the report under way.
+// Input: latency ratios of this sidecar's responses, messages of peers. Output: messages of one byte, the
+// mean in hundredths; the latency ratios that peers report. Owns the samples of the report in preparation.
 //
-// How loaded the pool is shows in the answers of all sidecars; the few of one are mostly chance, and a
-// concurrency limit that follows chance rejects what there is capacity for.
+// The load of the pool shows in the responses to all sidecars. The few responses to a single sidecar with
+// sparse traffic vary at random, and a concurrency limit that followed them alone would reject requests for
+// which the pool has capacity.
 #pragma once
 
 #include <optional>
@@ -19,9 +20,10 @@
 public:
     LoadReports(Context& context, const EndpointSubset& subset) : context_(context), subset_(subset) {}
 
-    /// Sends the report when it is complete.
+    /// Adds a sample, and sends the report when it has enough samples.
     void record_latency_ratio(double ratio);
-    /// The latency ratio that a peer reports; none for other messages and where our own answers are enough.
+    /// The latency ratio that a peer reports; none for other messages, and none if this sidecar's own traffic
+    /// is not sparse.
     std::optional<double> receive(const GossipReceived& message) const;
 
 private:
--- a/src/balancer/modules.hpp
+++ b/src/balancer/modules.hpp
@@ -1,5 +1,5 @@
-// The modules of the decision library and how they refer to each other, in the order of their construction:
-// each is handed those above it that it reads or drives. They are neither copied nor moved.
+// The modules of the decision library, in the order of their construction. Each module gets references to the
+// earlier modules that it uses; the struct is therefore neither copied nor moved.
 #pragma once
 
 #include <cstdint>
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -43,12 +43,13 @@
     return !state.is_available() && !(state.is_ejected_by_fleet() && context_.now >= state.backoff_until());
 }
 
-// A window not yet full is judged as if the rest were successes: what is certain need not wait, least of all
-// where traffic is sparse.
+// Outcomes missing from a window that is not yet full count as successes. An endpoint that would be an
+// outlier even so is ejected without waiting for a full window, which with sparse traffic would take long.
 bool OutlierDetection::is_outlier(const EndpointRecord& endpoint) const {
     const EjectionState& state = endpoint.ejection;
     const int best_successes = state.successes() + (kOutcomeWindow - state.outcomes());
-    if (best_successes >= kOutcomeWindow * kSuccessThreshold) return false;  // whatever the others' share
+    // outlier_threshold() is never above kSuccessThreshold.
+    if (best_successes >= kOutcomeWindow * kSuccessThreshold) return false;
     return best_successes < kOutcomeWindow * outlier_threshold(endpoint);
 }
 
@@ -58,7 +59,8 @@
     return kSuccessThreshold * share - 3 * standard_error;
 }
 
-// Endpoints that the fleet reports as failing are no measure, while they are the fewer.
+// Success share in the windows of all other available endpoints. Endpoints that other sidecars report as
+// failing are left out, unless they are the majority.
 double OutlierDetection::success_share_of_others(const EndpointRecord& endpoint) const {
     double successes = 0, outcomes = 0, unreported_successes = 0, unreported_outcomes = 0;
     std::size_t available = 0, unreported = 0;
@@ -110,8 +112,8 @@
     return true;
 }
 
-// One whose backoff is over but whose trial has not come yet, or is in flight, stays ejected for a moment:
-// the next lifetime tries it as this one would have.
+// An endpoint whose backoff has expired but whose half-open trial has not succeeded is recorded as ejected
+// for 1 ms more, so that the next run starts with its trial, as this run would have.
 std::vector<EndpointSnapshot> OutlierDetection::snapshot() const {
     std::vector<EndpointSnapshot> snapshots;
     for (const auto& [id, endpoint] : table_.records()) {
--- a/src/balancer/outlier_detection.hpp
+++ b/src/balancer/outlier_detection.hpp
@@ -1,8 +1,8 @@
-// Outlier detection: when an endpoint is ejected, tried again (half-open) and restored.
+// Outlier detection: decides when an endpoint is ejected, gets its half-open trial and is restored.
 //
 // Input: the outcome of each attempt. Output: the ejection state in the endpoint's record, log messages, and
-// what has changed. Owns no state beyond these records. Source: io.l5d.successRate (Linkerd) for window,
-// threshold and backoff; Envoy's panic threshold.
+// whether the outcome ejected or restored the endpoint. All state is in the endpoint records. Source:
+// io.l5d.successRate (Linkerd) for window, threshold and backoff; Envoy's panic threshold.
 #pragma once
 
 #include <vector>
@@ -19,26 +19,30 @@
 public:
     OutlierDetection(Context& context, EndpointTable& table) : context_(context), table_(table) {}
 
-    /// trial: the attempt was its half-open trial. late: past its latency objective, as good as timed out.
+    /// trial: the attempt was the endpoint's half-open trial. late: the attempt exceeded its latency
+    /// objective and counts as a failure.
     EjectionChange record_outcome(EndpointRecord& endpoint, bool trial, Outcome outcome, bool late);
-    /// Whether the endpoint's next attempt is its half-open trial; it is half-open from here on.
+    /// Makes an ejected endpoint half-open; returns whether its next attempt is the half-open trial.
     bool begin_trial(EndpointRecord& endpoint) const;
     void eject(EndpointRecord& endpoint, EjectionCause cause);
 
-    /// Panic threshold: half of the listed endpoints stay in the pool, whatever their windows say, and three
-    /// quarters if it is for slow answers: under overload slow endpoints are still needed.
+    /// Whether the panic threshold permits another ejection: half of the listed endpoints always stay in the
+    /// pool, and three quarters if the ejection is for slow responses, because under overload slow endpoints
+    /// are still needed.
     bool may_eject(bool for_slowness) const;
-    /// Out of the pool. What is out on the evidence of others may be tried once its backoff is over, and may
-    /// never be: we need not use it.
+    /// Whether the endpoint counts against the panic threshold. An endpoint that was ejected on the evidence
+    /// of other sidecars counts only until its backoff expires: its half-open trial may never come, because
+    /// this sidecar may not use the endpoint.
     bool is_out(const EndpointRecord& endpoint) const;
-    /// Success share below which an endpoint is an outlier among the others. Shared slowness makes every
-    /// endpoint fail, and ejecting them all makes it an outage. So it is held against the others: the
-    /// threshold of their success share, less three standard errors of a window of that share. While the
-    /// others don't fail, this is the threshold and nothing else.
+    /// The success share below which an endpoint is an outlier: kSuccessThreshold times the success share of
+    /// the other endpoints, minus three standard errors of a window with that share. The comparison with the
+    /// others prevents an outage when a common cause slows all endpoints and every window has failures. If
+    /// the others have no failures, the result is kSuccessThreshold.
     double outlier_threshold(const EndpointRecord& endpoint) const;
 
-    /// Whether it was ejected by what an earlier lifetime knew: within the panic threshold and for no more
-    /// than a whole backoff, since what comes from a disk gives way to what this lifetime has seen.
+    /// Ejects an endpoint that was ejected at the end of the previous run; returns whether it did. The panic
+    /// threshold applies and the backoff is at most kEjectionBackoff, because what this run has seen takes
+    /// precedence over data from disk.
     bool restore(EndpointRecord& endpoint, const EndpointSnapshot& snapshot);
     std::vector<EndpointSnapshot> snapshot() const;
 
--- a/src/balancer/peer_sampling.hpp
+++ b/src/balancer/peer_sampling.hpp
@@ -9,7 +9,7 @@
 
 namespace ochregrade::detail {
 
-/// count draws among all sidecars; our own index, if drawn, is left out.
+/// Draws count sidecars, with repetition, and sends the message to each of them except this sidecar itself.
 inline void send_to_random_peers(Context& context, std::uint32_t count,
                                  const std::vector<std::uint8_t>& bytes) {
     for (std::uint32_t i = 0; i < count; ++i) {
--- a/src/balancer/probe_races.cpp
+++ b/src/balancer/probe_races.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-// Probes are sent while the share of attempts that come in time is between these.
+// Probes are sent only while the on-time share of the attempts is between these two.
 constexpr double kCollapsedShare = 0.7, kHealthyShare = 0.97;
-// Of the late attempts, the share that a race brings in time at best.
+// Largest share of the late or failed attempts that a race can avoid.
 constexpr double kRaceGain = 0.5;
-// Races for one attempt.
+// Most probe races for one attempt.
 constexpr int kMaxRounds = 2;
 
 }  // namespace
--- a/src/balancer/probe_races.hpp
+++ b/src/balancer/probe_races.hpp
@@ -1,11 +1,11 @@
-// Probe races: two idle endpoints are probed for a request, and the first to answer gets it.
+// Probe races: two idle endpoints are probed for a request, and the first one to respond gets the request.
 //
-// Input: two endpoints between which the selector sees no difference; ends of probes. Output: SendProbe
-// actions and which request a probe was for. Owns the requests that wait for probes, by endpoint.
+// Input: two endpoints that are equal for the selector; ends of probes. Output: SendProbe actions, and the
+// request that a probe was sent for. Owns the requests that wait for probes, by endpoint.
 //
-// While some attempts fail or come late, a race avoids who is dead, cut off or overloaded. In a collapsed
-// pool no probe is answered in time, and they would only cost; nor is a race worth two fees where it saves
-// less.
+// While some attempts fail or are late, a race avoids endpoints that are down, unreachable or overloaded. In
+// a collapsed pool no endpoint responds to probes in time, so that probes would only add cost. A race also
+// does not pay where the late responses that it avoids are worth less than the fees of its two probes.
 #pragma once
 
 #include <optional>
@@ -27,9 +27,11 @@
 
     bool is_worthwhile(const Request& request) const;
     void start(Request& request, const EndpointRecord& first, const EndpointRecord& second);
-    /// The request that has waited longest for a probe of this endpoint; none if there is none.
+    /// Removes and returns the request that has waited longest for a probe of this endpoint; none if no
+    /// request waits.
     std::optional<RequestId> take_waiter(EndpointId endpoint);
-    /// All of them: the endpoint is gone, and no probe of it will end.
+    /// Removes and returns all requests that wait for a probe of a removed endpoint, of which no probe will
+    /// end.
     std::vector<RequestId> take_waiters(EndpointId endpoint);
 
 private:
--- a/src/balancer/request_scheduler.cpp
+++ b/src/balancer/request_scheduler.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-// Share of the latency objective that a request may wait for an endpoint: what cannot be sent by then had
-// better be retried by its client.
+// Share of the latency objective for which a request may wait in the queue: after that, a retry by the client
+// has a better chance than further waiting.
 constexpr double kMaxWaitShare = 1.0 / 16;
-// The shortest advice on when to retry.
+// Shortest retry_after of a rejection.
 constexpr Millis kMinRetryAfter = 1;
 
 RequestClass class_of(const RequestArrived& arrived, const Settings& settings) {
     RequestClass request_class;
     if (arrived.class_index < settings.classes.size()) {
         request_class = settings.classes[arrived.class_index];
-    } else {  // unknown: what we know least about is handled with most care
+    } else {  // an unknown class gets the most restrictive treatment
         request_class.idempotency = Idempotency::not_idempotent;
         request_class.latency_objective = std::max(1.0, arrived.time_left);
     }
@@ -24,7 +24,7 @@
     return request_class;
 }
 
-// 1 where no class has any weight.
+// The highest priority weight of all classes; 1 if all weights are 0.
 double highest_priority_weight(const Settings& settings) {
     double highest = 0;
     for (const RequestClass& request_class : settings.classes)
@@ -58,12 +58,13 @@
         if (selection.kind == SelectionKind::endpoint) return send(request, *selection.first);
         if (selection.kind == SelectionKind::probe_race)
             parts_.races.start(request, *selection.first, *selection.second);
-        if (request.pending_probes > 0) return;  // the probes' ends schedule it
+        if (request.pending_probes > 0) return;  // probe_ended() continues when a probe ends
     }
     wait_for_endpoint(request);
 }
 
-// No endpoint may have it now. If one may later, it waits: at its queue deadline the timer completes it.
+// Queues a request that no endpoint can take now, or completes it if no endpoint will be able to take it in
+// time. The timer at the queue deadline completes a request that still waits then.
 void RequestScheduler::wait_for_endpoint(Request& request) {
     if (request.any_in_flight()) return;
     if (RetryPolicy::are_attempts_exhausted(request)) return complete(request, EndReason::attempts_exhausted);
@@ -96,7 +97,7 @@
 
 void RequestScheduler::probe_ended(RequestId id, EndpointRecord* endpoint) {
     Request* request = parts_.requests.find(id);
-    if (!request || request->pending_probes == 0) return;  // it no longer waits
+    if (!request || request->pending_probes == 0) return;  // the request no longer waits for a probe
     if (endpoint && parts_.selector.may_use(*request, *endpoint)) {
         request->pending_probes = 0;
         send(*request, *endpoint);
@@ -116,7 +117,8 @@
     parts_.requests.note_ended(request.id);
 }
 
-// A mean answer from now there is capacity; where no endpoint is available, when the first backoff ends.
+// Milliseconds until the client should retry: the mean response time, after which there should be capacity;
+// if no endpoint is available, the time until the first backoff expires.
 Millis RequestScheduler::retry_after(const Request& request) const {
     Millis first_trial = kEjectionBackoff;
     for (const EndpointRecord* endpoint : parts_.endpoints.in_service()) {
--- a/src/balancer/request_scheduler.hpp
+++ b/src/balancer/request_scheduler.hpp
@@ -1,8 +1,8 @@
-// Request scheduler: the life of a request from its arrival to its only final answer.
+// Request scheduler: takes a request from its arrival to its only final response.
 //
-// Input: requests that need an attempt, answers of probes, deadlines. Output: SendAttempt, CancelAttempt,
-// RejectRequest, FailRequest and the requests' timers (milliseconds). Owns no state but the order of these
-// steps: admission, selection, sending, waiting in the queue, completion.
+// Input: requests that need an attempt, results of probes, deadlines. Output: SendAttempt, CancelAttempt,
+// RejectRequest, FailRequest and the requests' timers (milliseconds). The scheduler has no state of its own;
+// it defines the order of the steps admission, selection, sending, waiting in the queue and completion.
 #pragma once
 
 #include "balancer/admission_controller.hpp"
@@ -19,7 +19,7 @@
 
 class RequestScheduler {
 public:
-    /// The modules that it drives; they outlive it.
+    /// The modules that the scheduler uses; they outlive it.
     struct Parts {
         Context& context;
         const EndpointTable& endpoints;
@@ -33,16 +33,16 @@
     };
     explicit RequestScheduler(const Parts& parts) : parts_(parts) {}
 
-    /// Takes a request and schedules its first attempt. An id already in use has no effect.
+    /// Creates the record of a request and schedules its first attempt. An id already in use has no effect.
     void accept(const RequestArrived& arrived);
     /// Sends an attempt, starts a probe race, queues the request or completes it.
     void schedule(Request& request);
-    /// Schedules what waits in the queue, if there is capacity again. The last to arrive goes first: under
-    /// overload the oldest has least use left.
+    /// Schedules the queued requests if admission has capacity, newest first: under overload the oldest
+    /// request is the least likely to get its response in time.
     void schedule_queued();
-    /// A probe for the request has ended; endpoint is null if it gave no reason to use its endpoint.
+    /// A probe for the request has ended; endpoint is null if the probed endpoint should not get the request.
     void probe_ended(RequestId id, EndpointRecord* endpoint);
-    /// The only final answer: a rejection where its promise is true, else a failure.
+    /// Sends the only final response: a rejection if RetryPolicy::may_reject() permits it, else a failure.
     void complete(Request& request, EndReason reason);
     void cancel_attempts(const Request& request);
 
--- a/src/balancer/request_table.hpp
+++ b/src/balancer/request_table.hpp
@@ -1,8 +1,9 @@
-// Request table: the requests without a final answer or with attempts in flight, and the queue of those that
-// wait for an endpoint. Times are milliseconds.
+// Request table: the requests that have no final response yet or still have attempts in flight, and the queue
+// of the requests that wait for an endpoint. Times are milliseconds.
 //
-// Input: arrivals and ends. Output: records by request id. What is ended and has nothing in flight is erased
-// after the event, so that no record moves or goes while an event is handled.
+// Input: arrivals and ends of requests. Output: records by request id. A request that has ended and has no
+// attempt in flight is erased after the event, so that no record is moved or erased while an event is
+// handled.
 #pragma once
 
 #include <algorithm>
@@ -21,14 +22,14 @@
     Millis sent_at = 0;
     bool in_flight = true;
     bool may_have_run = true;
-    bool trial = false;  ///< the endpoint's half-open trial
+    bool trial = false;  ///< whether the attempt is the endpoint's half-open trial
 };
 
 struct Request {
     bool any_in_flight() const {
         return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.in_flight; });
     }
-    /// Null if it is certain that none has run.
+    /// The first attempt that may have run; null if certainly no attempt has run.
     const Attempt* first_possible_run() const {
         const auto first =
             std::find_if(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.may_have_run; });
@@ -40,19 +41,20 @@
     }
 
     RequestId id = 0;
-    SettingsPtr settings;                ///< in force for it to its end
-    RequestClass request_class;          ///< latency objective with the part for its effort
+    SettingsPtr settings;                ///< settings that apply to the request until it ends
+    RequestClass request_class;          ///< latency_objective includes the part for the request's effort
     double highest_priority_weight = 1;  ///< of all classes
-    /// The client's. Not the latency objective: giving up there makes clients retry what an endpoint is still
-    /// working on, while a late answer, worth as little, keeps them quiet.
+    /// When the client stops waiting. Attempts run until this deadline and not only until the latency
+    /// objective: if the sidecar gave up at the objective, clients would retry requests on which an endpoint
+    /// is still working; a late response has as little value as a failure but causes no retry.
     Millis deadline = 0;
     bool client_retry = false;
-    bool ended = false;  ///< has its final answer
-    bool streaming = false;
+    bool ended = false;      ///< the client has its final response or has disconnected
+    bool streaming = false;  ///< a response is being streamed to the client
     bool queue_timer_set = false;
-    Millis queue_deadline = 0;  ///< rejected if it still waits for an endpoint then
+    Millis queue_deadline = 0;  ///< a request that still waits for an endpoint at this time is rejected
     int pending_probes = 0;
-    int probe_rounds = 0;  ///< since its last attempt
+    int probe_rounds = 0;  ///< probe races since the last attempt
     std::vector<Attempt> attempts;
 };
 
@@ -65,7 +67,7 @@
         entry->second.id = id;
         return &entry->second;
     }
-    /// Null if not known.
+    /// Null if the id is unknown.
     Request* find(RequestId id) {
         const auto entry = requests_.find(id);
         return entry == requests_.end() ? nullptr : &entry->second;
@@ -74,7 +76,7 @@
 
     void enqueue(RequestId id) { queue_.push_back(id); }
     bool is_queue_empty() const { return queue_.empty(); }
-    /// Empties the queue: in its order, those that still wait.
+    /// Empties the queue and returns, in queue order, the requests that still wait for an endpoint.
     std::vector<RequestId> take_queue() {
         std::vector<RequestId> waiting;
         waiting.swap(queue_);
@@ -85,9 +87,9 @@
         return waiting;
     }
 
-    /// The request has ended during this event.
+    /// Notes for erase_ended() that the request has ended, or that an attempt of an ended request has ended.
     void note_ended(RequestId id) { ended_.push_back(id); }
-    /// After each event: what has its final answer and nothing in flight is erased.
+    /// Called after each event: erases the requests noted as ended that have no attempt in flight.
     void erase_ended() {
         for (const RequestId id : ended_) {
             const auto entry = requests_.find(id);
@@ -99,7 +101,7 @@
 
 private:
     std::unordered_map<RequestId, Request> requests_;  // never iterated
-    std::vector<RequestId> queue_;                     // may name ended ones
+    std::vector<RequestId> queue_;                     // may contain requests that have ended
     std::vector<RequestId> ended_;
 };
 
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-// Retry budget, in attempts: a fifth more attempts than requests in the long run,
+// Attempts that each request adds to the retry budget: in the long run a fifth more attempts than requests.
 constexpr double kRetriesPerRequest = 0.2;
-// and this many at a stretch.
+// Maximum of the retry budget, in attempts: the largest burst of retries.
 constexpr double kRetryBurst = 10;
-// The process may be held up for so long between a decision and its write,
+// The longest time for which the process may be stalled between a decision and its write to the socket.
 constexpr Millis kWriteDelay = 150;
-// but of a short dedup window no more than this share is given up for it.
+// Largest share of a short deduplication window that is given up for the write delay.
 constexpr double kMaxWriteDelayShare = 0.25;
 
 bool is_in_dedup_scope(DedupScope scope, const Attempt& attempt, const Endpoint& endpoint) {
@@ -28,7 +28,8 @@
     return false;
 }
 
-// Whether the endpoint knows the key of every attempt that may have run.
+// Whether the endpoint knows the idempotency keys of all attempts that may have run. True for requests that
+// need no key.
 bool remembers_earlier_attempts(const Request& request, const Endpoint& endpoint) {
     if (request.request_class.idempotency != Idempotency::idempotent_with_key) return true;
     const DedupScope scope = request.request_class.dedup_scope;
@@ -41,7 +42,7 @@
 
 RetryPolicy::RetryPolicy(const Context& context) : context_(context), budget_(kRetryBurst) {}
 
-// The rules are those of docs/RULES.md.
+// The numbers refer to the rules in docs/RULES.md.
 bool RetryPolicy::may_send(const Request& request, const EndpointRecord& endpoint) const {
     const Millis now = context_.now;
     const bool repeatable = request.request_class.idempotency != Idempotency::not_idempotent;
--- a/src/balancer/retry_policy.hpp
+++ b/src/balancer/retry_policy.hpp
@@ -1,8 +1,9 @@
 // Retry policy: whether an attempt may be sent, whether a request may be rejected, and the retry budget.
 //
-// Input: a request with its attempts and an endpoint. Output: permissions and the last time (milliseconds) at
-// which a repeat may be written. Source: the platform's rules 1 to 3 (one final answer, no second run,
-// endpoints that drain); retry budgets as in Finagle.
+// Input: a request with its attempts and an endpoint. Output: permissions and the latest time (milliseconds)
+// at which a repeated request may be written. Source: the platform's rules 1 to 3 (exactly one final
+// response, no second run of a request that must not be repeated, no request to a draining endpoint); retry
+// budgets as in Finagle.
 #pragma once
 
 #include "balancer/context.hpp"
@@ -15,14 +16,17 @@
 public:
     explicit RetryPolicy(const Context& context);
 
-    /// Nothing is sent without this. Slow start is not part of it.
+    /// Whether the rules allow an attempt of the request at the endpoint; required for every SendAttempt.
+    /// Slow start is checked separately.
     bool may_send(const Request& request, const EndpointRecord& endpoint) const;
-    /// A rejection promises that the request has not run, or that a repeat does no harm.
+    /// Whether the request may be rejected: a rejection promises that the request has not run or that a
+    /// repeat is harmless.
     bool may_reject(const Request& request) const;
-    /// Until then endpoints know the key of an attempt that may have run, also where a repeat is written
-    /// late; infinite where there is no such key.
+    /// The time until which a repeat may be sent: the endpoints still know the key of the first attempt that
+    /// may have run, with a margin for a late write. Infinite if the request has no key or certainly has not
+    /// run.
     static Millis repeat_deadline(const Request& request);
-    /// No further attempt will ever be permitted.
+    /// Whether no further attempt will be permitted.
     static bool are_attempts_exhausted(const Request& request);
 
     void record_request();
--- a/src/balancer/settings_validation.hpp
+++ b/src/balancer/settings_validation.hpp
@@ -1,11 +1,12 @@
-// Whether settings make sense. Nothing here decides anything about a request.
+// Validates the settings of the decision library. Input: Settings. Output: an exception if a setting is
+// invalid.
 #pragma once
 
 #include "ochregrade/balancer.hpp"
 
 namespace ochregrade {
 
-// Throws std::invalid_argument naming the first setting that makes no sense.
+/// Throws std::invalid_argument, which names the first invalid setting.
 void validate(const Settings& settings);
 
 }  // namespace ochregrade
--- a/src/balancer/shared_evidence.cpp
+++ b/src/balancer/shared_evidence.cpp
@@ -7,17 +7,18 @@
 
 namespace {
 
-// At most this share of the list, one endpoint at least, is excluded on the evidence of others alone.
+// Largest share of the endpoint list that is excluded on the evidence of other sidecars alone; at least one
+// endpoint may be.
 constexpr double kMaxExcludedShare = 0.1;
-// So many recent successes of our own, and no evidence against the endpoint is needed.
+// Number of this sidecar's own recent successes that overrule the other sidecars' reports of failures.
 constexpr double kConfirmingSuccesses = 3;
-// Failures are published as often at most,
+// Shortest time between two published reports of failures at an endpoint.
 constexpr Millis kFailureInterval = 500;
-// and successes of an endpoint that others report as failing,
+// Shortest time between two published reports of successes at an endpoint that others report as failing.
 constexpr Millis kSuccessInterval = 2000;
-// until the fleet has seen this many.
+// Such successes are no longer published once the fleet has reported this many.
 constexpr std::uint32_t kEnoughSuccesses = 3 * kOutcomeWindow;
-// Trials that another sidecar's success brings forward are spread over this.
+// Half-open trials that a recovery at another sidecar brings forward are spread at random over this time.
 constexpr Millis kTrialSpread = 2000;
 
 }  // namespace
@@ -26,7 +27,8 @@
     if (!context_.settings->evidence_shared) return;
     EvidenceState& evidence = endpoint.evidence;
     const bool recovered = reason == PublishReason::recovered;
-    // What enough others report already need not be repeated by hundreds; our own report is kept true.
+    // A fact that enough other sidecars report already is not published by hundreds more. A sidecar that has
+    // published within the last backoff still updates its report.
     const bool well_known = recovered ? evidence.fleet().recoveries >= kEvidenceQuorum
                                       : evidence.fleet().direct_reporters >= 2 * kEvidenceQuorum;
     if (well_known && context_.now >= evidence.published_at() + kEjectionBackoff) return;
@@ -59,7 +61,7 @@
         const EndpointEvidence& fleet = endpoint.evidence.fleet();
         if (endpoint.listed && fleet.reporters + fleet.recoveries > 0) reported.push_back(&endpoint);
     }
-    // The worst first: the cap may not let all be ejected.
+    // The endpoints with the most reporters come first, because the cap may not permit all ejections.
     std::stable_sort(reported.begin(), reported.end(), [](const EndpointRecord* a, const EndpointRecord* b) {
         return a->evidence.fleet().direct_reporters > b->evidence.fleet().direct_reporters;
     });
@@ -75,20 +77,21 @@
         const bool was_reported = state.is_reported_failing();
         const auto entry = by_endpoint.find(id);
         state.set_fleet(entry == by_endpoint.end() ? EndpointEvidence{} : entry->second);
-        // Where the others' lists withdraw an endpoint that ours still has in service, no new request goes to
-        // it until ours has come.
+        // If a quorum of other sidecars has seen the endpoint draining or removed, it gets no new request,
+        // even while this sidecar's own list still has it in service.
         const bool withdrawn =
             endpoint.listed && state.fleet().withdrawals >= kEvidenceQuorum && is_within_cap(withdrawn_count);
         state.set_withdrawn(withdrawn);
         withdrawn_count += withdrawn;
-        // Its successes before the first report do not contradict it.
+        // Successes before the first report of failures do not contradict the report.
         if (!was_reported && state.is_reported_failing() && state.failures() < 1) state.forget_successes();
     }
 }
 
 void SharedEvidence::apply(EndpointRecord& endpoint) {
     EjectionState& ejection = endpoint.ejection;
-    // Another's success is worth a trial of our own, and no more; not all at once.
+    // A recovery at another sidecar only brings this sidecar's own half-open trial forward. The random time
+    // keeps the sidecars' trials apart.
     if (ejection.is_ejected() && endpoint.evidence.fleet().recoveries > 0 &&
         ejection.backoff_until() > context_.now + kTrialSpread)
         ejection.set_backoff_until(context_.now + kTrialSpread * context_.random.unit());
--- a/src/balancer/shared_evidence.hpp
+++ b/src/balancer/shared_evidence.hpp
@@ -1,13 +1,14 @@
-// Shared evidence: what this sidecar publishes of endpoints, and what it does on the reports of the others.
+// Shared evidence: publishes this sidecar's evidence about endpoints and acts on the reports of the others.
 //
-// Input: our outcomes, ejections and restorations, the fleet's evidence (counts of the last 10 s). Output:
-// PublishEvidence actions, ejections on a quorum of reports, trials brought forward, endpoints withdrawn.
-// Owns the evidence state in the endpoints' records. Source: Envoy's max_ejection_percent for the cap.
+// Input: this sidecar's outcomes, ejections and recoveries; the fleet's evidence (counts of the last 10 s).
+// Output: PublishEvidence actions, ejections on a quorum of reports, half-open trials brought forward,
+// withdrawn endpoints. Owns the evidence state in the endpoint records. Source: Envoy's max_ejection_percent
+// for the cap.
 //
-// A window of outcomes is soon filled by all sidecars together, where one of them takes minutes. So each
-// publishes what it saw of an endpoint that fails, or that others report, and judges by the sum as by a
-// window of its own. Its own fresh outcomes go before the reports of others, and a backoff and a trial of its
-// own follow.
+// All sidecars together fill a window of outcomes quickly, whereas a single sidecar may take minutes. Each
+// sidecar therefore publishes its outcomes at an endpoint that fails or that others report, and compares the
+// sum of all reports with the outlier threshold. A sidecar's own recent outcomes take precedence over the
+// reports of the others, and an ejection is followed by the sidecar's own backoff and half-open trial.
 #pragma once
 
 #include "balancer/context.hpp"
@@ -25,13 +26,13 @@
 
     void publish(EndpointRecord& endpoint, PublishReason reason);
     void record_outcome(EndpointRecord& endpoint, Outcome outcome);
-    /// Its half-open trial has succeeded.
+    /// The half-open trial of the endpoint has succeeded.
     void record_recovery(EndpointRecord& endpoint) {
         endpoint.evidence.forget_failures();
         publish(endpoint, PublishReason::recovered);
     }
     void receive(const FleetEvidence& evidence);
-    /// Evidence is no longer shared.
+    /// Clears the reports of the other sidecars, because evidence is no longer shared.
     void forget_fleet();
 
 private:
--- a/src/balancer/slow_start.hpp
+++ b/src/balancer/slow_start.hpp
@@ -1,12 +1,14 @@
-// Slow start: how much an endpoint that has just started may get.
+// Slow start: limits the requests to an endpoint that has just started.
 //
-// Input: the endpoint's start time and the settings. Output: shares of its capacity, 0 to 1 (of requests,
-// where an overload factor allows it, above 1). Owns no state. Source: the platform's rules of slow start
-// (slow_start_least_share rising evenly to all of it after slow_start_duration).
+// Input: the endpoint's start time and the settings. Output: the slow-start share (0 to 1) and the admission
+// probability, which the overload factor can raise above 1. The module has no state of its own. Source: the
+// platform's rules of slow start (the share rises linearly from slow_start_least_share to the full capacity
+// after slow_start_duration).
 //
-// The share is given by lot: shares drawn so add up to what the endpoint can do over any number of sidecars,
-// where a minimum or a token bucket in each would be a flood from a thousand. It shrinks by our share of
-// attempts that complete: a storm of retries is many times what endpoints can do.
+// Each sidecar draws at random whether a request may go to a cold endpoint. The requests of any number of
+// sidecars then add up to the endpoint's share, whereas a minimum or a token bucket in each of a thousand
+// sidecars would overload the endpoint. The admission probability is multiplied by the completed share of
+// this sidecar's recent attempts, because a storm of retries is many times the load that endpoints can serve.
 #pragma once
 
 #include <algorithm>
@@ -17,7 +19,7 @@
 
 namespace ochregrade::detail {
 
-/// Share given of the multiple that makes a cold endpoint collapse; the rest is for chance.
+/// Share of the overload factor that slow start uses; the rest is a margin for random variation.
 constexpr double kOverloadFactorShare = 0.5;
 
 class SlowStart {
@@ -30,7 +32,7 @@
         return settings.slow_start_duration > 0 && endpoint.info.started_at > 0 &&
                context_.now < endpoint.info.started_at + settings.slow_start_duration;
     }
-    /// Share of its capacity that it is sure to have.
+    /// The slow-start share, 0 to 1; 1 for an endpoint that is not cold.
     double warm_share(const EndpointRecord& endpoint) const {
         if (!is_cold(endpoint)) return 1;
         const Settings& settings = *context_.settings;
@@ -38,15 +40,16 @@
             std::max(0.0, context_.now - endpoint.info.started_at) / settings.slow_start_duration;
         return settings.slow_start_least_share + (1 - settings.slow_start_least_share) * std::min(1.0, age);
     }
-    /// Share of our requests that it is open to; may exceed 1.
+    /// The admission probability; may exceed 1.
     double admitted_share(const EndpointRecord& endpoint) const {
-        // While its answers come in time, more than it is sure to bear: most warm up sooner.
+        // An endpoint that responds in time gets more than its slow-start share: most endpoints warm up
+        // faster than the platform's rule states.
         const bool on_time = endpoint.latency_ratio > 0 && endpoint.latency_ratio <= kTargetLatencyRatio;
         const double multiple =
             on_time ? std::max(1.0, kOverloadFactorShare * context_.settings->slow_start_overload_factor) : 1;
         return multiple * warm_share(endpoint) * statistics_.completed_share();
     }
-    /// Draws for a cold endpoint whether it may have this request.
+    /// Whether the endpoint may have this request; drawn at random for a cold endpoint.
     bool admits(const EndpointRecord& endpoint) const {
         return !is_cold(endpoint) || context_.random.unit() < admitted_share(endpoint);
     }
--- a/src/balancer/suspicion.hpp
+++ b/src/balancer/suspicion.hpp
@@ -1,5 +1,5 @@
-// Suspicion of one endpoint: an exponentially decaying count of failed attempts, our own and those reported
-// by gossip. Source: the term is SWIM's; the decay is that of an ejection's backoff.
+// Suspicion of one endpoint: an exponentially decaying count of failed attempts, this sidecar's own and those
+// that peers report by gossip. The time constant of the decay is kEjectionBackoff. Source: SWIM's suspicion.
 #pragma once
 
 #include <algorithm>
@@ -9,14 +9,14 @@
 
 namespace ochregrade::detail {
 
-/// No number of failures counts for more: the endpoint is still drawn now and then.
+/// Upper bound of the suspicion, in failures, so that a suspected endpoint is still drawn occasionally.
 constexpr double kMaxSuspicion = 8;
 
 class Suspicion {
 public:
-    /// The count at a time, in failures.
+    /// The decayed count at the given time, in failures.
     double at(Millis now) const {
-        if (count_ == 0) return 0;  // most endpoints: spares the exponential
+        if (count_ == 0) return 0;  // avoids std::exp for most endpoints
         return count_ * std::exp((updated_at_ - now) / kEjectionBackoff);
     }
 
--- a/src/balancer/timers.hpp
+++ b/src/balancer/timers.hpp
@@ -1,4 +1,4 @@
-// Timers under way, and what each is for. A token is never used twice. Times are milliseconds.
+// Pending timers and their purposes. A token is never used twice. Times are milliseconds.
 #pragma once
 
 #include <optional>
@@ -23,7 +23,7 @@
         timers_[next_token_] = timer;
         context_.act(SetTimer{at, next_token_++});
     }
-    /// The timer that has fired, once; none if not known.
+    /// Removes and returns the timer that has fired; none if the token is unknown or has been taken already.
     std::optional<Timer> take(TimerToken token) {
         const auto entry = timers_.find(token);
         if (entry == timers_.end()) return std::nullopt;
