--- a/src/balancer/admission_controller.cpp
+++ b/src/balancer/admission_controller.cpp
@@ -21,7 +21,7 @@
 constexpr double kCommonShare = 0.6;
 // Time constant of the utilisation: a lower ratio gets more weight the longer ago the last sample was,
 // because a sidecar that sheds most of its requests gets few samples.
-constexpr Millis kUtilisationMemory = 5000;
+constexpr Millis kUtilisationTimeConstant = 5000;
 // Weight of a peer's report in this sidecar's utilisation.
 constexpr double kPeerReportWeight = 0.1;
 
@@ -42,7 +42,7 @@
     // The utilisation is smoothed so that a single slow response does not lower the limit of a sidecar that
     // gets few responses.
     const double staleness =
-        ratio < utilisation_ ? 1 - std::exp((updated_at_ - context_.now) / kUtilisationMemory) : 0;
+        ratio < utilisation_ ? 1 - std::exp((updated_at_ - context_.now) / kUtilisationTimeConstant) : 0;
     utilisation_ += (ratio - utilisation_) * std::max(2.0 / kSmoothingWindow, staleness);
     updated_at_ = context_.now;
     smooth(peak_in_flight_, in_flight_);
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -44,11 +44,11 @@
         try {
             validate(*event.settings);
         } catch (const std::invalid_argument& error) {
-            return context.act(LogMessage{error.what(), {}});
+            return context.append_action(LogMessage{error.what(), {}});
         }
         const bool subscribe = event.settings->polled_discovery && !context.settings->polled_discovery;
         context.settings = event.settings;
-        if (!context.settings->evidence_shared) evidence.forget_fleet();
+        if (!context.settings->evidence_shared) evidence.clear_fleet_evidence();
         if (subscribe) watch.subscribe();
         scheduler.schedule_queued();  // this sidecar's share of the concurrency limit may have grown
     }
@@ -60,13 +60,13 @@
         if (watch.has_current_list())  // the step from a cached, possibly stale list is no change of capacity
             admission.record_capacity_change(capacity_before, endpoints.capacity(slow_start));
         watch.list_received(update.kind);
-        for (const EndpointId id : endpoints.gone()) erase_if_gone(id);
+        for (const EndpointId id : endpoints.removed_and_idle()) erase_if_removed_and_idle(id);
         scheduler.schedule_queued();
     }
 
     // Requests that wait for a probe of the erased endpoint are scheduled without that probe.
-    void erase_if_gone(EndpointId id) {
-        if (!endpoints.erase_if_gone(id)) return;
+    void erase_if_removed_and_idle(EndpointId id) {
+        if (!endpoints.erase_if_removed_and_idle(id)) return;
         for (const RequestId request : races.take_waiters(id)) scheduler.probe_ended(request, nullptr);
     }
 
@@ -108,8 +108,8 @@
             // and then refuses new connections. With low traffic, the next request comes so late that opening
             // a new connection costs less than holding an idle one.
             if (endpoint->in_flight == 0 && subset.is_traffic_low())
-                context.act(CloseIdleConnections{attempt.endpoint});
-            erase_if_gone(attempt.endpoint);
+                context.append_action(CloseIdleConnections{attempt.endpoint});
+            erase_if_removed_and_idle(attempt.endpoint);
         }
         continue_request(*request, event.request_ended);
         scheduler.schedule_queued();
@@ -157,15 +157,15 @@
         if (endpoint.reachable == reachable) return;
         endpoint.reachable = reachable;
         if (reachable) return;
-        const double others = subset.reachable_capacity_besides(endpoint);
-        const double own = endpoint.info.capacity_weight * slow_start.warm_share(endpoint);
-        admission.record_capacity_change(others + own, others);
+        const double remaining_capacity = subset.reachable_capacity_besides(endpoint);
+        const double lost_capacity = endpoint.info.capacity_weight * slow_start.slow_start_share(endpoint);
+        admission.record_capacity_change(remaining_capacity + lost_capacity, remaining_capacity);
     }
 
     // Ends or reschedules a request after one of its attempts has ended. Without the retry budget, each
     // request would be sent to an overloaded pool as often as the attempt limit allows.
-    void continue_request(Request& request, bool client_has_answer) {
-        if (client_has_answer) request.ended = true;
+    void continue_request(Request& request, bool client_has_final_response) {
+        if (client_has_final_response) request.ended = true;
         if (request.ended) requests.note_ended(request.id);
         if (context.now >= request.deadline)
             scheduler.complete(request, EndReason::deadline_exceeded);
--- a/src/balancer/context.hpp
+++ b/src/balancer/context.hpp
@@ -17,7 +17,7 @@
 struct Context {
     Context(SettingsPtr initial, std::uint64_t seed) : settings(std::move(initial)), random(seed) {}
 
-    void act(Action action) { actions->push_back(std::move(action)); }
+    void append_action(Action action) { actions->push_back(std::move(action)); }
 
     /// The settings in force now, for everything that does not concern a single request: sidecar index and
     /// count, slow start, messages to peers. Classes, fees, attempt limits and permissions of a request come
--- a/src/balancer/ejection_state.hpp
+++ b/src/balancer/ejection_state.hpp
@@ -44,7 +44,7 @@
         ejected_by_fleet_ = by_fleet;
     }
     void set_backoff_until(Millis until) { backoff_until_ = until; }
-    void begin_trial() { health_ = Health::half_open; }
+    void start_trial() { health_ = Health::half_open; }
     /// The trial ended without success or failure: the endpoint's next request is another trial.
     void abandon_trial() { health_ = Health::ejected; }
     /// Makes the endpoint available with an empty window.
--- a/src/balancer/endpoint_selector.cpp
+++ b/src/balancer/endpoint_selector.cpp
@@ -16,8 +16,8 @@
 
 Selection EndpointSelector::select(const Request& request) const {
     Candidates candidates, tried;
-    for (EndpointRecord* endpoint : from_.subset.endpoints()) {
-        const bool trial_due = endpoint->ejection.is_trial_due(from_.context.now);
+    for (EndpointRecord* endpoint : sources_.subset.endpoints()) {
+        const bool trial_due = endpoint->ejection.is_trial_due(sources_.context.now);
         if (!trial_due && !endpoint->ejection.is_available()) continue;
         if (endpoint->evidence.is_withdrawn() || !may_use(request, *endpoint)) continue;
         if (trial_due) return {SelectionKind::endpoint, endpoint};
@@ -29,7 +29,7 @@
 }
 
 bool EndpointSelector::may_use(const Request& request, const EndpointRecord& endpoint) const {
-    return from_.retry_policy.may_send(request, endpoint) && from_.slow_start.admits(endpoint);
+    return sources_.retry_policy.may_send(request, endpoint) && sources_.slow_start.admits(endpoint);
 }
 
 // Chooses between two randomly drawn endpoints. If cross-zone attempts have a fee and the pool is not
@@ -41,12 +41,12 @@
     if (!local.empty()) first = draw(local, nullptr);
     if (candidates.size() == 1) return {SelectionKind::endpoint, first};
     EndpointRecord* second = draw(candidates, first);
-    const bool first_is_nearer = !local.empty() && second->info.zone != *settings.local_zone;
-    const double difference = from_.gossip.suspicion(*first) - from_.gossip.suspicion(*second);
+    const bool first_is_local = !local.empty() && second->info.zone != *settings.local_zone;
+    const double difference = sources_.gossip.suspicion(*first) - sources_.gossip.suspicion(*second);
     if (first->in_flight == 0 && second->in_flight == 0 && std::abs(difference) < 1 &&
-        from_.races.is_worthwhile(request))
+        sources_.races.is_worthwhile(request))
         return {SelectionKind::probe_race, first, second};
-    const bool second_is_better = is_second_better(*first, *second, difference, first_is_nearer, settings);
+    const bool second_is_better = is_second_better(*first, *second, difference, first_is_local, settings);
     return {SelectionKind::endpoint, second_is_better ? second : first};
 }
 
@@ -55,7 +55,7 @@
     const Settings& settings = *request.settings;
     Candidates local;
     if (!(settings.fees.cross_zone > 0) || !settings.local_zone) return local;
-    if (!(from_.admission.utilisation() <= kMaxLocalUtilisation)) return local;
+    if (!(sources_.admission.utilisation() <= kMaxLocalUtilisation)) return local;
     for (EndpointRecord* endpoint : candidates)
         if (endpoint->info.zone == *settings.local_zone) local.push_back(endpoint);
     return local;
@@ -65,33 +65,33 @@
 // attempt more in flight if this sidecar's share of the cross-zone fee exceeds the probability of a late
 // response; only the share counts, because one more attempt from each of many sidecars builds a queue.
 bool EndpointSelector::is_second_better(const EndpointRecord& first, const EndpointRecord& second,
-                                        double suspicion_difference, bool first_is_nearer,
+                                        double suspicion_difference, bool first_is_local,
                                         const Settings& settings) const {
-    const bool fee_is_higher = first_is_nearer && from_.admission.fleet_share() * settings.fees.cross_zone >
-                                                      std::exp(-1 / from_.admission.utilisation());
+    const bool fee_is_higher = first_is_local && sources_.admission.fleet_share() * settings.fees.cross_zone >
+                                                     std::exp(-1 / sources_.admission.utilisation());
     const int allowance = fee_is_higher ? 1 : 0;
     if (second.in_flight + allowance < first.in_flight) return true;
     if (second.in_flight != first.in_flight) return false;
     if (suspicion_difference != 0) return suspicion_difference > 0;
-    return !first_is_nearer && second.latency_ratio < first.latency_ratio;
+    return !first_is_local && second.latency_ratio < first.latency_ratio;
 }
 
 // Weight of an endpoint in the random draw. If this sidecar has no attempts in flight, the draw alone
 // decides, and equal probabilities would overload endpoints of low capacity. Suspicion lowers the weight.
 double EndpointSelector::draw_weight(const EndpointRecord& endpoint) const {
-    const double suspicion = from_.gossip.suspicion(endpoint);
+    const double suspicion = sources_.gossip.suspicion(endpoint);
     return endpoint.info.capacity_weight / ((1 + suspicion) * (1 + suspicion)) *
            (endpoint.evidence.is_reported_slow() ? kSlowWeight : 1);
 }
 
-EndpointRecord* EndpointSelector::draw(const Candidates& candidates, const EndpointRecord* excluded) const {
+EndpointRecord* EndpointSelector::draw(const Candidates& candidates, const EndpointRecord* omitted) const {
     double total = 0;
     for (const EndpointRecord* endpoint : candidates)
-        total += endpoint == excluded ? 0 : draw_weight(*endpoint);
-    double remaining = from_.context.random.unit() * total;
+        total += endpoint == omitted ? 0 : draw_weight(*endpoint);
+    double remaining = sources_.context.random.unit() * total;
     EndpointRecord* drawn = nullptr;
     for (EndpointRecord* endpoint : candidates) {
-        if (endpoint == excluded || (drawn && !(remaining >= 0))) continue;
+        if (endpoint == omitted || (drawn && !(remaining >= 0))) continue;
         drawn = endpoint;
         remaining -= draw_weight(*endpoint);
     }
--- a/src/balancer/endpoint_selector.hpp
+++ b/src/balancer/endpoint_selector.hpp
@@ -41,7 +41,7 @@
         const AdmissionController& admission;
         const ProbeRaces& races;
     };
-    explicit EndpointSelector(const Sources& sources) : from_(sources) {}
+    explicit EndpointSelector(const Sources& sources) : sources_(sources) {}
 
     /// An endpoint whose backoff has expired gets the request as its half-open trial. Otherwise the less
     /// loaded of two randomly drawn endpoints gets the request. Endpoints that the request has already tried
@@ -57,11 +57,11 @@
     Selection choose(const Request& request, const Candidates& candidates) const;
     Candidates in_local_zone(const Request& request, const Candidates& candidates) const;
     bool is_second_better(const EndpointRecord& first, const EndpointRecord& second,
-                          double suspicion_difference, bool first_is_nearer, const Settings& settings) const;
-    EndpointRecord* draw(const Candidates& candidates, const EndpointRecord* excluded) const;
+                          double suspicion_difference, bool first_is_local, const Settings& settings) const;
+    EndpointRecord* draw(const Candidates& candidates, const EndpointRecord* omitted) const;
     double draw_weight(const EndpointRecord& endpoint) const;
 
-    Sources from_;
+    Sources sources_;
 };
 
 }  // namespace ochregrade::detail
--- a/src/balancer/endpoint_subset.cpp
+++ b/src/balancer/endpoint_subset.cpp
@@ -50,17 +50,17 @@
         EndpointRecord* endpoint = used.emplace_back(all[(start + i) % all.size()]);
         if (!endpoint->ejection.is_available()) continue;
         const bool cold = slow_start_.is_cold(*endpoint);
-        const double share = cold ? std::min(1.0, slow_start_.admitted_share(*endpoint)) : 1;
+        const double share = cold ? std::min(1.0, slow_start_.admission_probability(*endpoint)) : 1;
         missing -= endpoint->info.capacity_weight * share;
     }
     return used;
 }
 
-double EndpointSubset::reachable_capacity_besides(const EndpointRecord& excluded) const {
+double EndpointSubset::reachable_capacity_besides(const EndpointRecord& omitted) const {
     double capacity = 0;
     for (const EndpointRecord* endpoint : endpoints())
-        if (endpoint != &excluded && endpoint->reachable && endpoint->ejection.is_available())
-            capacity += endpoint->info.capacity_weight * slow_start_.warm_share(*endpoint);
+        if (endpoint != &omitted && endpoint->reachable && endpoint->ejection.is_available())
+            capacity += endpoint->info.capacity_weight * slow_start_.slow_start_share(*endpoint);
     return capacity;
 }
 
--- a/src/balancer/endpoint_subset.hpp
+++ b/src/balancer/endpoint_subset.hpp
@@ -28,7 +28,7 @@
     /// The endpoints of the subset, from the start of this sidecar's arc.
     std::vector<EndpointRecord*> endpoints() const;
     /// Capacity of the available and reachable endpoints of the subset, except the given one.
-    double reachable_capacity_besides(const EndpointRecord& excluded) const;
+    double reachable_capacity_besides(const EndpointRecord& omitted) const;
 
     /// Whether an outcome window takes longer to fill than a backoff lasts: from its own outcomes alone, this
     /// sidecar then detects outliers too late.
--- a/src/balancer/endpoint_table.cpp
+++ b/src/balancer/endpoint_table.cpp
@@ -35,14 +35,14 @@
     }
 }
 
-std::vector<EndpointId> EndpointTable::gone() const {
+std::vector<EndpointId> EndpointTable::removed_and_idle() const {
     std::vector<EndpointId> ids;
     for (const auto& [id, record] : records_)
         if (!record.listed && record.in_flight == 0) ids.push_back(id);
     return ids;
 }
 
-bool EndpointTable::erase_if_gone(EndpointId id) {
+bool EndpointTable::erase_if_removed_and_idle(EndpointId id) {
     const auto entry = records_.find(id);
     if (entry == records_.end() || entry->second.listed || entry->second.in_flight > 0) return false;
     records_.erase(entry);
@@ -58,7 +58,7 @@
 double EndpointTable::capacity(const SlowStart& slow_start) const {
     double total = 0;
     for (const auto& [id, record] : records_)
-        if (record.is_serving()) total += record.info.capacity_weight * slow_start.warm_share(record);
+        if (record.is_serving()) total += record.info.capacity_weight * slow_start.slow_start_share(record);
     return total;
 }
 
--- a/src/balancer/endpoint_table.hpp
+++ b/src/balancer/endpoint_table.hpp
@@ -38,12 +38,12 @@
     using Records = std::map<EndpointId, EndpointRecord>;
 
     /// Must not be called for updates of kind failed. The records of removed endpoints stay until
-    /// erase_if_gone().
+    /// erase_if_removed_and_idle().
     void apply(const EndpointUpdate& update);
     /// Ids of the removed endpoints without attempts in flight, in order.
-    std::vector<EndpointId> gone() const;
+    std::vector<EndpointId> removed_and_idle() const;
     /// Erases the record if the endpoint is removed and has no attempts in flight; returns whether it did.
-    bool erase_if_gone(EndpointId id);
+    bool erase_if_removed_and_idle(EndpointId id);
 
     /// Null if the id is unknown.
     EndpointRecord* find(EndpointId id) {
--- a/src/balancer/endpoint_watch.cpp
+++ b/src/balancer/endpoint_watch.cpp
@@ -16,12 +16,12 @@
 EndpointWatch::EndpointWatch(Context& context, Timers& timers)
     : context_(context), timers_(timers), delay_(kFirstRetryDelay) {}
 
-void EndpointWatch::subscribe() { context_.act(SubscribeEndpoints{true}); }
+void EndpointWatch::subscribe() { context_.append_action(SubscribeEndpoints{true}); }
 
 void EndpointWatch::schedule_retry() {
-    const Millis delay = std::min(delay_, longest_delay()) * (0.5 + context_.random.unit());
+    const Millis delay = std::min(delay_, max_delay()) * (0.5 + context_.random.unit());
     timers_.set(context_.now + delay, {TimerPurpose::resubscribe});
-    delay_ = std::min(delay_ * 2, longest_delay());
+    delay_ = std::min(delay_ * 2, max_delay());
 }
 
 void EndpointWatch::list_received(EndpointUpdateKind kind) {
@@ -33,7 +33,7 @@
 // The longest delay before jitter. The platform expects a sidecar to know a list change four poll intervals
 // after a failed call. Jitter makes the delay at most half as long again, that is two poll intervals, which
 // leaves the other half of the time to the call.
-Millis EndpointWatch::longest_delay() const {
+Millis EndpointWatch::max_delay() const {
     const Millis poll_interval = context_.settings->poll_interval;
     if (poll_interval <= 0) return kMaxRetryDelay;
     return std::min(kMaxRetryDelay, poll_interval * 4 / 3);
--- a/src/balancer/endpoint_watch.hpp
+++ b/src/balancer/endpoint_watch.hpp
@@ -24,7 +24,7 @@
     bool has_current_list() const { return has_current_list_; }
 
 private:
-    Millis longest_delay() const;
+    Millis max_delay() const;
 
     Context& context_;
     Timers& timers_;
--- a/src/balancer/evidence_state.hpp
+++ b/src/balancer/evidence_state.hpp
@@ -45,8 +45,8 @@
         counted_at_ = now;
     }
     void decay(Millis now) { count(now, 0, 0); }
-    void forget_successes() { successes_ = 0; }
-    void forget_failures() { failures_ = 0; }
+    void clear_successes() { successes_ = 0; }
+    void clear_failures() { failures_ = 0; }
 
     Millis published_at() const { return published_at_; }
     void set_published_at(Millis now) { published_at_ = now; }
@@ -60,7 +60,7 @@
         return changed;
     }
 
-    void forget_fleet() {
+    void clear_fleet_evidence() {
         fleet_ = {};
         withdrawn_ = false;
     }
@@ -68,7 +68,7 @@
     void reset() {
         successes_ = failures_ = 0;
         slow_ = false;
-        forget_fleet();
+        clear_fleet_evidence();
     }
 
 private:
--- a/src/balancer/load_reports.cpp
+++ b/src/balancer/load_reports.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // Samples in a report.
-constexpr int kAnswersPerReport = 10;
+constexpr int kSamplesPerReport = 10;
 // One sidecar in kSidecarsPerReport gets a report, but at most kMaxReports do.
 constexpr std::uint32_t kSidecarsPerReport = 16;
 constexpr std::uint32_t kMaxReports = 22;
@@ -17,8 +17,8 @@
 }  // namespace
 
 void LoadReports::record_latency_ratio(double ratio) {
-    mean_ += ratio / kAnswersPerReport;
-    if (++answers_ == kAnswersPerReport) send();
+    mean_ += ratio / kSamplesPerReport;
+    if (++samples_ == kSamplesPerReport) send();
 }
 
 void LoadReports::send() {
@@ -27,7 +27,7 @@
         send_to_random_peers(context_, std::min(settings.sidecar_count / kSidecarsPerReport, kMaxReports),
                              {static_cast<std::uint8_t>(mean_ * kHundredths)});
     mean_ = 0;
-    answers_ = 0;
+    samples_ = 0;
 }
 
 std::optional<double> LoadReports::receive(const GossipReceived& message) const {
--- a/src/balancer/load_reports.hpp
+++ b/src/balancer/load_reports.hpp
@@ -32,7 +32,7 @@
     Context& context_;
     const EndpointSubset& subset_;
     double mean_ = 0;
-    int answers_ = 0;
+    int samples_ = 0;
 };
 
 }  // namespace ochregrade::detail
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -21,7 +21,7 @@
             return EjectionChange::ejected;
         }
         state.reset();
-        context_.act(LogMessage{"restored after a trial", endpoint.info.id});
+        context_.append_action(LogMessage{"restored after a trial", endpoint.info.id});
         return EjectionChange::restored;
     }
     if (!decided || !state.is_available()) return EjectionChange::none;
@@ -32,13 +32,13 @@
     return EjectionChange::ejected;
 }
 
-bool OutlierDetection::begin_trial(EndpointRecord& endpoint) const {
+bool OutlierDetection::start_trial(EndpointRecord& endpoint) const {
     if (!endpoint.ejection.is_ejected()) return false;
-    endpoint.ejection.begin_trial();
+    endpoint.ejection.start_trial();
     return true;
 }
 
-bool OutlierDetection::is_out(const EndpointRecord& endpoint) const {
+bool OutlierDetection::counts_as_ejected(const EndpointRecord& endpoint) const {
     const EjectionState& state = endpoint.ejection;
     return !state.is_available() && !(state.is_ejected_by_fleet() && context_.now >= state.backoff_until());
 }
@@ -47,10 +47,10 @@
 // outlier even so is ejected without waiting for a full window, which with sparse traffic would take long.
 bool OutlierDetection::is_outlier(const EndpointRecord& endpoint) const {
     const EjectionState& state = endpoint.ejection;
-    const int best_successes = state.successes() + (kOutcomeWindow - state.outcomes());
+    const int max_successes = state.successes() + (kOutcomeWindow - state.outcomes());
     // outlier_threshold() is never above kSuccessThreshold.
-    if (best_successes >= kOutcomeWindow * kSuccessThreshold) return false;
-    return best_successes < kOutcomeWindow * outlier_threshold(endpoint);
+    if (max_successes >= kOutcomeWindow * kSuccessThreshold) return false;
+    return max_successes < kOutcomeWindow * outlier_threshold(endpoint);
 }
 
 double OutlierDetection::outlier_threshold(const EndpointRecord& endpoint) const {
@@ -84,23 +84,23 @@
 }
 
 bool OutlierDetection::may_eject(bool for_slowness) const {
-    std::size_t listed = 0, out = 0;
+    std::size_t listed = 0, ejected = 0;
     for (const auto& [id, endpoint] : table_.records()) {
         if (!endpoint.listed) continue;
         ++listed;
-        out += is_out(endpoint);
+        ejected += counts_as_ejected(endpoint);
     }
-    return (for_slowness ? 4 : 2) * (out + 1) <= listed;
+    return (for_slowness ? 4 : 2) * (ejected + 1) <= listed;
 }
 
 void OutlierDetection::eject(EndpointRecord& endpoint, EjectionCause cause) {
     const bool by_fleet = cause == EjectionCause::fleet_evidence;
     if (by_fleet) {
         const std::string reporters = std::to_string(endpoint.evidence.fleet().direct_reporters);
-        context_.act(
+        context_.append_action(
             LogMessage{"removed from the pool on the word of " + reporters + " others", endpoint.info.id});
     } else if (endpoint.ejection.is_available()) {
-        context_.act(LogMessage{"removed from the pool", endpoint.info.id});
+        context_.append_action(LogMessage{"removed from the pool", endpoint.info.id});
     }
     endpoint.ejection.eject(context_.now + kEjectionBackoff, by_fleet);
 }
@@ -117,9 +117,10 @@
 std::vector<EndpointSnapshot> OutlierDetection::snapshot() const {
     std::vector<EndpointSnapshot> snapshots;
     for (const auto& [id, endpoint] : table_.records()) {
-        const bool out = !endpoint.ejection.is_available();
-        if (!endpoint.listed || (!out && !(endpoint.latency_ratio > 0))) continue;
-        const Millis ejected_for = out ? std::max(1.0, endpoint.ejection.backoff_until() - context_.now) : 0;
+        const bool ejected = !endpoint.ejection.is_available();
+        if (!endpoint.listed || (!ejected && !(endpoint.latency_ratio > 0))) continue;
+        const Millis ejected_for =
+            ejected ? std::max(1.0, endpoint.ejection.backoff_until() - context_.now) : 0;
         snapshots.push_back({id, ejected_for, endpoint.latency_ratio});
     }
     return snapshots;
--- a/src/balancer/outlier_detection.hpp
+++ b/src/balancer/outlier_detection.hpp
@@ -23,7 +23,7 @@
     /// objective and counts as a failure.
     EjectionChange record_outcome(EndpointRecord& endpoint, bool trial, Outcome outcome, bool late);
     /// Makes an ejected endpoint half-open; returns whether its next attempt is the half-open trial.
-    bool begin_trial(EndpointRecord& endpoint) const;
+    bool start_trial(EndpointRecord& endpoint) const;
     void eject(EndpointRecord& endpoint, EjectionCause cause);
 
     /// Whether the panic threshold permits another ejection: half of the listed endpoints always stay in the
@@ -33,7 +33,7 @@
     /// Whether the endpoint counts against the panic threshold. An endpoint that was ejected on the evidence
     /// of other sidecars counts only until its backoff expires: its half-open trial may never come, because
     /// this sidecar may not use the endpoint.
-    bool is_out(const EndpointRecord& endpoint) const;
+    bool counts_as_ejected(const EndpointRecord& endpoint) const;
     /// The success share below which an endpoint is an outlier: kSuccessThreshold times the success share of
     /// the other endpoints, minus three standard errors of a window with that share. The comparison with the
     /// others prevents an outage when a common cause slows all endpoints and every window has failures. If
--- a/src/balancer/peer_sampling.hpp
+++ b/src/balancer/peer_sampling.hpp
@@ -14,7 +14,7 @@
                                  const std::vector<std::uint8_t>& bytes) {
     for (std::uint32_t i = 0; i < count; ++i) {
         const auto peer = static_cast<std::uint32_t>(context.random.below(context.settings->sidecar_count));
-        if (peer != context.settings->sidecar_index) context.act(SendGossip{peer, bytes});
+        if (peer != context.settings->sidecar_index) context.append_action(SendGossip{peer, bytes});
     }
 }
 
--- a/src/balancer/probe_races.cpp
+++ b/src/balancer/probe_races.cpp
@@ -28,7 +28,7 @@
     for (const EndpointRecord* endpoint : {&first, &second}) {
         ++request.pending_probes;
         waiters_[endpoint->info.id].push_back(request.id);
-        context_.act(SendProbe{endpoint->info.id});
+        context_.append_action(SendProbe{endpoint->info.id});
     }
 }
 
--- a/src/balancer/request_scheduler.cpp
+++ b/src/balancer/request_scheduler.cpp
@@ -76,7 +76,7 @@
 }
 
 void RequestScheduler::send(Request& request, EndpointRecord& endpoint) {
-    const bool trial = parts_.outliers.begin_trial(endpoint);
+    const bool trial = parts_.outliers.start_trial(endpoint);
     const Millis write_deadline = std::min(request.deadline, RetryPolicy::repeat_deadline(request));
     if (!request.attempts.empty()) parts_.retry_policy.record_retry();
     ++endpoint.in_flight;
@@ -85,7 +85,7 @@
     request.probe_rounds = 0;
     const Endpoint& info = endpoint.info;
     request.attempts.push_back({info.id, info.zone, info.cell, parts_.context.now, true, true, trial});
-    parts_.context.act(SendAttempt{request.id, info.id, request.deadline, write_deadline});
+    parts_.context.append_action(SendAttempt{request.id, info.id, request.deadline, write_deadline});
 }
 
 void RequestScheduler::schedule_queued() {
@@ -110,9 +110,9 @@
     if (request.ended || request.streaming) return;
     cancel_attempts(request);
     if (parts_.retry_policy.may_reject(request))
-        parts_.context.act(RejectRequest{request.id, retry_after(request), reason});
+        parts_.context.append_action(RejectRequest{request.id, retry_after(request), reason});
     else
-        parts_.context.act(FailRequest{request.id, reason});
+        parts_.context.append_action(FailRequest{request.id, reason});
     request.ended = true;
     parts_.requests.note_ended(request.id);
 }
@@ -133,7 +133,7 @@
 void RequestScheduler::cancel_attempts(const Request& request) {
     if (!request.settings->cancel_allowed) return;
     for (std::uint32_t i = 0; i < request.attempts.size(); ++i)
-        if (request.attempts[i].in_flight) parts_.context.act(CancelAttempt{request.id, i});
+        if (request.attempts[i].in_flight) parts_.context.append_action(CancelAttempt{request.id, i});
 }
 
 }  // namespace ochregrade::detail
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -30,7 +30,7 @@
 
 // Whether the endpoint knows the idempotency keys of all attempts that may have run. True for requests that
 // need no key.
-bool remembers_earlier_attempts(const Request& request, const Endpoint& endpoint) {
+bool is_in_scope_of_earlier_attempts(const Request& request, const Endpoint& endpoint) {
     if (request.request_class.idempotency != Idempotency::idempotent_with_key) return true;
     const DedupScope scope = request.request_class.dedup_scope;
     return std::all_of(request.attempts.begin(), request.attempts.end(), [&](const Attempt& attempt) {
@@ -52,7 +52,7 @@
     if (request.any_in_flight() && (!request.settings->hedging_allowed || !repeatable)) return false;
     if (!repeatable && request.first_possible_run()) return false;  // R4
     if (now >= repeat_deadline(request)) return false;
-    return remembers_earlier_attempts(request, endpoint.info);
+    return is_in_scope_of_earlier_attempts(request, endpoint.info);
 }
 
 bool RetryPolicy::may_reject(const Request& request) const {
--- a/src/balancer/shared_evidence.cpp
+++ b/src/balancer/shared_evidence.cpp
@@ -29,13 +29,14 @@
     const bool recovered = reason == PublishReason::recovered;
     // A fact that enough other sidecars report already is not published by hundreds more. A sidecar that has
     // published within the last backoff still updates its report.
-    const bool well_known = recovered ? evidence.fleet().recoveries >= kEvidenceQuorum
-                                      : evidence.fleet().direct_reporters >= 2 * kEvidenceQuorum;
-    if (well_known && context_.now >= evidence.published_at() + kEjectionBackoff) return;
+    const bool widely_reported = recovered ? evidence.fleet().recoveries >= kEvidenceQuorum
+                                           : evidence.fleet().direct_reporters >= 2 * kEvidenceQuorum;
+    if (widely_reported && context_.now >= evidence.published_at() + kEjectionBackoff) return;
     evidence.set_published_at(context_.now);
     evidence.decay(context_.now);
-    context_.act(PublishEvidence{endpoint.info.id, evidence.successes(), evidence.failures(),
-                                 endpoint.latency_ratio, !endpoint.ejection.is_available(), recovered});
+    context_.append_action(PublishEvidence{endpoint.info.id, evidence.successes(), evidence.failures(),
+                                           endpoint.latency_ratio, !endpoint.ejection.is_available(),
+                                           recovered});
 }
 
 void SharedEvidence::record_outcome(EndpointRecord& endpoint, Outcome outcome) {
@@ -84,7 +85,7 @@
         state.set_withdrawn(withdrawn);
         withdrawn_count += withdrawn;
         // Successes before the first report of failures do not contradict the report.
-        if (!was_reported && state.is_reported_failing() && state.failures() < 1) state.forget_successes();
+        if (!was_reported && state.is_reported_failing() && state.failures() < 1) state.clear_successes();
     }
 }
 
@@ -119,10 +120,11 @@
 }
 
 bool SharedEvidence::may_eject_on_evidence() const {
-    std::size_t out = 0;
+    std::size_t ejected = 0;
     for (const auto& [id, endpoint] : table_.records())
-        out += endpoint.listed && endpoint.ejection.is_ejected_by_fleet() && outliers_.is_out(endpoint);
-    return is_within_cap(out);
+        ejected += endpoint.listed && endpoint.ejection.is_ejected_by_fleet() &&
+                   outliers_.counts_as_ejected(endpoint);
+    return is_within_cap(ejected);
 }
 
 bool SharedEvidence::is_within_cap(std::size_t excluded) const {
@@ -130,8 +132,8 @@
     return static_cast<double>(excluded) + 1 <= cap;
 }
 
-void SharedEvidence::forget_fleet() {
-    for (auto& [id, endpoint] : table_.records()) endpoint.evidence.forget_fleet();
+void SharedEvidence::clear_fleet_evidence() {
+    for (auto& [id, endpoint] : table_.records()) endpoint.evidence.clear_fleet_evidence();
 }
 
 }  // namespace ochregrade::detail
--- a/src/balancer/shared_evidence.hpp
+++ b/src/balancer/shared_evidence.hpp
@@ -28,12 +28,12 @@
     void record_outcome(EndpointRecord& endpoint, Outcome outcome);
     /// The half-open trial of the endpoint has succeeded.
     void record_recovery(EndpointRecord& endpoint) {
-        endpoint.evidence.forget_failures();
+        endpoint.evidence.clear_failures();
         publish(endpoint, PublishReason::recovered);
     }
     void receive(const FleetEvidence& evidence);
     /// Clears the reports of the other sidecars, because evidence is no longer shared.
-    void forget_fleet();
+    void clear_fleet_evidence();
 
 private:
     void update_records(const FleetEvidence& evidence);
--- a/src/balancer/slow_start.hpp
+++ b/src/balancer/slow_start.hpp
@@ -33,7 +33,7 @@
                context_.now < endpoint.info.started_at + settings.slow_start_duration;
     }
     /// The slow-start share, 0 to 1; 1 for an endpoint that is not cold.
-    double warm_share(const EndpointRecord& endpoint) const {
+    double slow_start_share(const EndpointRecord& endpoint) const {
         if (!is_cold(endpoint)) return 1;
         const Settings& settings = *context_.settings;
         const double age =
@@ -41,17 +41,17 @@
         return settings.slow_start_least_share + (1 - settings.slow_start_least_share) * std::min(1.0, age);
     }
     /// The admission probability; may exceed 1.
-    double admitted_share(const EndpointRecord& endpoint) const {
+    double admission_probability(const EndpointRecord& endpoint) const {
         // An endpoint that responds in time gets more than its slow-start share: most endpoints warm up
         // faster than the platform's rule states.
         const bool on_time = endpoint.latency_ratio > 0 && endpoint.latency_ratio <= kTargetLatencyRatio;
         const double multiple =
             on_time ? std::max(1.0, kOverloadFactorShare * context_.settings->slow_start_overload_factor) : 1;
-        return multiple * warm_share(endpoint) * statistics_.completed_share();
+        return multiple * slow_start_share(endpoint) * statistics_.completed_share();
     }
     /// Whether the endpoint may have this request; drawn at random for a cold endpoint.
     bool admits(const EndpointRecord& endpoint) const {
-        return !is_cold(endpoint) || context_.random.unit() < admitted_share(endpoint);
+        return !is_cold(endpoint) || context_.random.unit() < admission_probability(endpoint);
     }
 
 private:
--- a/src/balancer/timers.hpp
+++ b/src/balancer/timers.hpp
@@ -21,7 +21,7 @@
 
     void set(Millis at, Timer timer) {
         timers_[next_token_] = timer;
-        context_.act(SetTimer{at, next_token_++});
+        context_.append_action(SetTimer{at, next_token_++});
     }
     /// Removes and returns the timer that has fired; none if the token is unknown or has been taken already.
     std::optional<Timer> take(TimerToken token) {
--- a/tests/balancer/endpoint_table_test.cpp
+++ b/tests/balancer/endpoint_table_test.cpp
@@ -23,11 +23,11 @@
     fixture.list(2);
     fixture.endpoint(2).in_flight = 1;
     fixture.table.apply({EndpointUpdateKind::full, make_servers(1)});
-    EXPECT_TRUE(fixture.table.gone().empty());
-    EXPECT_FALSE(fixture.table.erase_if_gone(2));
+    EXPECT_TRUE(fixture.table.removed_and_idle().empty());
+    EXPECT_FALSE(fixture.table.erase_if_removed_and_idle(2));
     fixture.endpoint(2).in_flight = 0;
-    EXPECT_EQ(fixture.table.gone(), std::vector<EndpointId>{2});
-    EXPECT_TRUE(fixture.table.erase_if_gone(2));
+    EXPECT_EQ(fixture.table.removed_and_idle(), std::vector<EndpointId>{2});
+    EXPECT_TRUE(fixture.table.erase_if_removed_and_idle(2));
     EXPECT_EQ(fixture.table.find(2), nullptr);
 }
 
--- a/tests/balancer/outlier_detection_test.cpp
+++ b/tests/balancer/outlier_detection_test.cpp
@@ -63,7 +63,7 @@
     fail(1, 3);
     fixture.context.now += kEjectionBackoff;
     EXPECT_TRUE(fixture.endpoint(1).ejection.is_trial_due(fixture.context.now));
-    EXPECT_TRUE(outliers.begin_trial(fixture.endpoint(1)));
+    EXPECT_TRUE(outliers.start_trial(fixture.endpoint(1)));
     EXPECT_EQ(record(1, Outcome::success, /*trial=*/true), EjectionChange::restored);
     EXPECT_EQ(fixture.endpoint(1).ejection.outcomes(), 0);
 }
@@ -71,10 +71,10 @@
 TEST_F(OutlierDetectionTest, AFailedTrialEjectsAndAnUndecidedOneIsRepeated) {
     fail(1, 3);
     fixture.context.now += kEjectionBackoff;
-    outliers.begin_trial(fixture.endpoint(1));
+    outliers.start_trial(fixture.endpoint(1));
     EXPECT_EQ(record(1, Outcome::cancelled, /*trial=*/true), EjectionChange::none);
     EXPECT_TRUE(fixture.endpoint(1).ejection.is_trial_due(fixture.context.now));
-    outliers.begin_trial(fixture.endpoint(1));
+    outliers.start_trial(fixture.endpoint(1));
     EXPECT_EQ(record(1, Outcome::timeout, /*trial=*/true), EjectionChange::ejected);
     EXPECT_FALSE(fixture.endpoint(1).ejection.is_trial_due(fixture.context.now));
 }
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -18,12 +18,12 @@
 
 TEST_F(SlowStartTest, TheShareRisesEvenlyFromTheLeastToAll) {
     const EndpointRecord& endpoint = fixture.endpoint(1);
-    EXPECT_DOUBLE_EQ(slow_start.warm_share(endpoint), 0.2);
+    EXPECT_DOUBLE_EQ(slow_start.slow_start_share(endpoint), 0.2);
     fixture.context.now += 10000;
-    EXPECT_DOUBLE_EQ(slow_start.warm_share(endpoint), 0.6);
+    EXPECT_DOUBLE_EQ(slow_start.slow_start_share(endpoint), 0.6);
     fixture.context.now += 10000;
     EXPECT_FALSE(slow_start.is_cold(endpoint));
-    EXPECT_DOUBLE_EQ(slow_start.warm_share(endpoint), 1);
+    EXPECT_DOUBLE_EQ(slow_start.slow_start_share(endpoint), 1);
 }
 
 TEST_F(SlowStartTest, AnUnknownStartIsLongAgo) {
@@ -40,14 +40,14 @@
     robust.list(1, robust.context.now);
     const SlowStart generous(robust.context, statistics);
     robust.endpoint(1).latency_ratio = kTargetLatencyRatio;
-    EXPECT_DOUBLE_EQ(generous.admitted_share(robust.endpoint(1)), 0.3);
+    EXPECT_DOUBLE_EQ(generous.admission_probability(robust.endpoint(1)), 0.3);
     robust.endpoint(1).latency_ratio = kTargetLatencyRatio + 0.1;
-    EXPECT_DOUBLE_EQ(generous.admitted_share(robust.endpoint(1)), 0.2);
+    EXPECT_DOUBLE_EQ(generous.admission_probability(robust.endpoint(1)), 0.2);
 }
 
 TEST_F(SlowStartTest, FailedAttemptsShrinkTheShare) {
     statistics.record(/*completed=*/false, /*on_time=*/false);
-    EXPECT_DOUBLE_EQ(slow_start.admitted_share(fixture.endpoint(1)), 0.2 * 0.9);
+    EXPECT_DOUBLE_EQ(slow_start.admission_probability(fixture.endpoint(1)), 0.2 * 0.9);
 }
 
 TEST_F(SlowStartTest, TheLotAdmitsTheShare) {
