--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -21,7 +21,7 @@
             return EjectionChange::ejected;
         }
         state.reset();
-        context_.append_action(LogMessage{"restored after a trial", endpoint.info.id});
+        context_.append_action(LogMessage{"restored after a successful half-open trial", endpoint.info.id});
         return EjectionChange::restored;
     }
     if (!decided || !state.is_available()) return EjectionChange::none;
--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -129,7 +129,7 @@
         rig.end(other, Outcome::success, 1);
     }
     rig.end(id, Outcome::success, 1);
-    EXPECT_EQ(rig.logs.back(), "restored after a trial");
+    EXPECT_EQ(rig.logs.back(), "restored after a successful half-open trial");
     EXPECT_GT(run_requests(rig, 100, {1}, Outcome::success), 0);
 }
 
