--- a/tests/balancer/replay_draws.hpp
+++ b/tests/balancer/replay_draws.hpp
@@ -1,4 +1,4 @@
-// Random settings and values of the replayed lifetimes, the same for a seed on every platform.
+// Random settings and values for the replayed runs. The same seed gives the same values on every platform.
 #pragma once
 #include <cstdint>
 #include <initializer_list>
@@ -8,7 +8,8 @@
 
 namespace ochregrade::test {
 
-// Raw draws of a standard engine: the standard's distributions differ from library to library.
+// Draws made directly from a standard engine, because the standard distributions differ between
+// implementations.
 class RandomDraws {
 public:
     explicit RandomDraws(std::uint64_t seed) : engine_(seed) {}
--- a/tests/balancer/replay_hash.hpp
+++ b/tests/balancer/replay_hash.hpp
@@ -1,6 +1,6 @@
-// One hash of all the events, times and actions of a replayed lifetime. In: the values, one by one or an
-// action at a time, in their order. Out: 64 bits. Values are hashed, never names or memory, so that renamed
-// types give the same hash.
+// Hash of all events, times and actions of a replayed run. Input: single values or actions, in order. Output:
+// 64 bits. Only values are hashed, neither names nor object representations, so that renaming a type does not
+// change the hash.
 #pragma once
 #include <bit>
 #include <cstdint>
--- a/tests/balancer/replay_lifetimes.cpp
+++ b/tests/balancer/replay_runs.cpp
@@ -1,4 +1,4 @@
-#include "replay_lifetimes.hpp"
+#include "replay_runs.hpp"
 
 #include <algorithm>
 #include <memory>
@@ -10,12 +10,12 @@
 namespace ochregrade::test {
 namespace {
 
-// One sidecar's lifetime: endpoints that fail, slow down, restart and leave, clients that disconnect, timers,
-// probes, endpoint lists and gossip, each event at its time; what the balancer asks for decides what happens
-// next.
-class Lifetime {
+// A simulated run of one sidecar: endpoints that fail, slow down, restart and are removed, clients that
+// disconnect, timers, probes, endpoint lists and gossip. A queue of events in time order drives the run; the
+// balancer's actions schedule further events.
+class SimulatedRun {
 public:
-    explicit Lifetime(std::uint64_t seed)
+    explicit SimulatedRun(std::uint64_t seed)
         : draws_(seed), settings_(draw_settings(draws_)), balancer_(settings_, seed * 7919 + 1) {}
 
     void run() {
@@ -40,10 +40,10 @@
         timer,
         probe_end,
         list_change,
-        list_answer,
+        list_response,
         gossip,
         settings_change,
-        fleet_view
+        fleet_evidence
     };
     struct ScheduledEvent {
         Kind kind = Kind::timer;
@@ -76,7 +76,7 @@
         schedule(draws_.between(500, 6000), {Kind::list_change});
         schedule(draws_.between(50, 3000), {Kind::gossip});
         schedule(draws_.between(3000, 60000), {Kind::settings_change});
-        if (settings_.evidence_shared) schedule(draws_.between(100, 2000), {Kind::fleet_view});
+        if (settings_.evidence_shared) schedule(draws_.between(100, 2000), {Kind::fleet_evidence});
     }
 
     void add_endpoint(EndpointId id) {
@@ -149,7 +149,7 @@
                 return deliver(ProbeEnded{static_cast<EndpointId>(event.id), event.outcome, event.duration});
             case Kind::list_change:
                 return change_list();
-            case Kind::list_answer:
+            case Kind::list_response:
                 return deliver(
                     EndpointUpdate{draws_.chance(0.3) ? EndpointUpdateKind::failed : EndpointUpdateKind::full,
                                    listed_endpoints()});
@@ -157,8 +157,8 @@
                 return receive_from_peer();
             case Kind::settings_change:
                 return change_settings();
-            case Kind::fleet_view:
-                return receive_fleet_view();
+            case Kind::fleet_evidence:
+                return receive_fleet_evidence();
         }
     }
 
@@ -178,7 +178,7 @@
         deliver(event);
     }
     Millis draw_interarrival() {
-        if (draws_.chance(0.01)) return draws_.between(1000, 15000);  // a pause
+        if (draws_.chance(0.01)) return draws_.between(1000, 15000);  // a pause in traffic
         const Millis mean = draws_.chance(0.1) ? mean_interarrival_ / 20 : mean_interarrival_;
         return mean * 2 * draws_.unit();
     }
@@ -249,8 +249,8 @@
         deliver(SettingsChanged{std::make_shared<const Settings>(next)});
     }
 
-    void receive_fleet_view() {
-        FleetEvidence view;
+    void receive_fleet_evidence() {
+        FleetEvidence fleet;
         for (const auto& [id, endpoint] : endpoints_) {
             if (draws_.chance(0.7)) continue;
             EndpointEvidence evidence;
@@ -263,13 +263,13 @@
             evidence.recoveries = static_cast<std::uint32_t>(draws_.below(4));
             evidence.latency_reporters = static_cast<std::uint32_t>(draws_.below(6));
             evidence.latency_ratio = draws_.between(0, 1.5);
-            view.endpoints.push_back(evidence);
+            fleet.endpoints.push_back(evidence);
         }
-        schedule(draws_.between(200, 3000), {Kind::fleet_view});
-        deliver(view);
+        schedule(draws_.between(200, 3000), {Kind::fleet_evidence});
+        deliver(fleet);
     }
 
-    // What happens to an attempt at an endpoint of that health: how it ends, and after what time.
+    // Draws the outcome and the duration of an attempt at an endpoint of the given health.
     std::pair<Outcome, Millis> draw_result(Health health) {
         const double rare = draws_.unit();
         if (rare < 0.02) return {Outcome::connection_reset, draws_.between(1, 300)};
@@ -309,11 +309,11 @@
         schedule(std::max(0.0, timer.at - now_), {Kind::timer, timer.token});
     }
     void execute(const SendProbe& probe) {
-        const bool answers = health_[probe.endpoint] == Health::healthy || draws_.chance(0.4);
+        const bool responds = health_[probe.endpoint] == Health::healthy || draws_.chance(0.4);
         schedule(draws_.between(1, 60),
-                 {Kind::probe_end, probe.endpoint, 0, answers ? Outcome::success : Outcome::timeout, 5});
+                 {Kind::probe_end, probe.endpoint, 0, responds ? Outcome::success : Outcome::timeout, 5});
     }
-    void execute(const SubscribeEndpoints&) { schedule(draws_.between(5, 400), {Kind::list_answer}); }
+    void execute(const SubscribeEndpoints&) { schedule(draws_.between(5, 400), {Kind::list_response}); }
     void execute(const CloseIdleConnections&) {}
     void execute(const SendGossip&) {}
     void execute(const FetchEndpoints&) {}
@@ -337,10 +337,10 @@
 
 }  // namespace
 
-ReplayedLifetime replay_lifetime(std::uint64_t seed) {
-    Lifetime lifetime(seed);
-    lifetime.run();
-    return {lifetime.hash(), lifetime.action_counts()};
+ReplayedRun replay_run(std::uint64_t seed) {
+    SimulatedRun simulated(seed);
+    simulated.run();
+    return {simulated.hash(), simulated.action_counts()};
 }
 
 }  // namespace ochregrade::test
--- a/tests/balancer/replay_test.cpp
+++ b/tests/balancer/replay_test.cpp
@@ -1,7 +1,8 @@
-// Replay oracle of the decision library: seeded legal lifetimes of one sidecar, each folded into one hash of
-// all its events, times and actions. The hashes in replay_hashes.txt were recorded before the library was
-// split into modules: a different hash means that a decision, a floating-point result or a random draw has
-// changed. REPLAY_RECORD=FILE writes the hashes of this build there instead.
+// Regression test of the decision library: replays seeded runs of one sidecar and compares one hash per run,
+// over all events, times and actions, with replay_hashes.txt. The hashes were recorded before the library was
+// split into modules; a different hash means that a decision, a floating-point result or a random draw has
+// changed. With REPLAY_RECORD=FILE the test writes the hashes of this build to FILE instead of comparing
+// them.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -11,12 +12,12 @@
 #include <vector>
 
 #include "ochregrade/balancer.hpp"
-#include "replay_lifetimes.hpp"
+#include "replay_runs.hpp"
 
 namespace ochregrade::test {
 namespace {
 
-constexpr int kLifetimes = 1200;
+constexpr int kRuns = 1200;
 
 std::vector<std::uint64_t> recorded_hashes() {
     std::ifstream file(REPLAY_HASHES);
@@ -25,27 +26,27 @@
     return hashes;
 }
 
-TEST(Replay, SeededLifetimesGiveTheRecordedActions) {
+TEST(Replay, SeededRunsGiveTheRecordedActions) {
     const char* record = std::getenv("REPLAY_RECORD");
     std::ofstream out;
     if (record) out.open(record);
     const std::vector<std::uint64_t> recorded = recorded_hashes();
     if (!record) {
-        ASSERT_EQ(recorded.size(), static_cast<std::size_t>(kLifetimes));
+        ASSERT_EQ(recorded.size(), static_cast<std::size_t>(kRuns));
     }
     std::map<std::size_t, std::uint64_t> counts;
-    for (int seed = 0; seed < kLifetimes; ++seed) {
-        const ReplayedLifetime lifetime = replay_lifetime(static_cast<std::uint64_t>(seed));
-        for (const auto& [kind, count] : lifetime.action_counts) counts[kind] += count;
+    for (int seed = 0; seed < kRuns; ++seed) {
+        const ReplayedRun replayed = replay_run(static_cast<std::uint64_t>(seed));
+        for (const auto& [kind, count] : replayed.action_counts) counts[kind] += count;
         if (record)
-            out << std::hex << lifetime.hash << '\n';
+            out << std::hex << replayed.hash << '\n';
         else
-            EXPECT_EQ(lifetime.hash, recorded[static_cast<std::size_t>(seed)]) << "lifetime " << seed;
+            EXPECT_EQ(replayed.hash, recorded[static_cast<std::size_t>(seed)]) << "run with seed " << seed;
     }
     for (const auto& [kind, count] : counts)
         RecordProperty("actions_" + std::to_string(kind), std::to_string(count));
-    // All but FetchEndpoints, which the present decisions don't use.
-    EXPECT_EQ(counts.size(), std::variant_size_v<Action> - 1) << "a kind of action was never seen";
+    // All kinds except FetchEndpoints, which the balancer currently never emits.
+    EXPECT_EQ(counts.size(), std::variant_size_v<Action> - 1) << "a kind of action never occurred";
 }
 
 }  // namespace
