--- a/tests/balancer/admission_controller_test.cpp
+++ b/tests/balancer/admission_controller_test.cpp
@@ -11,7 +11,7 @@
 protected:
     AdmissionControllerTest() { fixture.list(4); }
 
-    /// Attempts that are admitted and sent, one after the other, until one is not.
+    /// Sends attempts until one is not admitted, then ends all of them; returns how many were sent.
     int fill(double priority_weight, bool client_retry = false) {
         int sent = 0;
         for (; sent < 2000 && admission.admits(priority_weight, 1, client_retry); ++sent)
@@ -27,20 +27,20 @@
     AdmissionController admission{fixture.context, fixture.table, subset};
 };
 
-TEST_F(AdmissionControllerTest, LowWeightsAndClientRetriesLeaveRoomForTheHighestWeight) {
+TEST_F(AdmissionControllerTest, LowWeightsAndClientRetriesLeaveCapacityForTheHighestWeight) {
     EXPECT_EQ(fill(1), 1000);
     EXPECT_EQ(fill(0.5), 800);
     EXPECT_EQ(fill(0), 600);
     EXPECT_EQ(fill(1, /*client_retry=*/true), 600);
 }
 
-TEST_F(AdmissionControllerTest, SlowAnswersLowerTheLimitToTheMinimum) {
+TEST_F(AdmissionControllerTest, SlowResponsesLowerTheLimitToTheMinimum) {
     for (int i = 0; i < 500; ++i) admission.record_latency_ratio(kMaxLatencyRatio);
     EXPECT_NEAR(admission.utilisation(), kMaxLatencyRatio, 0.01);
     EXPECT_EQ(fill(1), 4) << "one attempt for each endpoint is always allowed";
 }
 
-TEST_F(AdmissionControllerTest, FastAnswersRaiseItWhileItIsUsed) {
+TEST_F(AdmissionControllerTest, FastResponsesRaiseTheLimitWhileItIsUsed) {
     for (int i = 0; i < 500; ++i) admission.record_latency_ratio(kMaxLatencyRatio);
     for (int i = 0; i < 3; ++i) admission.attempt_sent();
     for (int i = 0; i < 500; ++i) {
@@ -49,7 +49,7 @@
     }
     for (int i = 0; i < 3; ++i) admission.attempt_ended();
     EXPECT_GT(fill(1), 4);
-    EXPECT_LT(fill(1), 10) << "three in flight are no use of more";
+    EXPECT_LT(fill(1), 10) << "with three attempts in flight a higher limit is not used";
 }
 
 TEST_F(AdmissionControllerTest, APeersReportMovesUtilisationByATenth) {
--- a/tests/balancer/endpoint_selector_test.cpp
+++ b/tests/balancer/endpoint_selector_test.cpp
@@ -10,7 +10,7 @@
 struct SelectorFixture : ModuleFixture {
     explicit SelectorFixture(const Settings& settings = make_settings()) : ModuleFixture(settings) {}
 
-    /// How often each endpoint is selected for a new request.
+    /// Number of times each endpoint is selected in the given number of selections for new requests.
     std::map<EndpointId, int> select_many(int times) {
         std::map<EndpointId, int> counts;
         for (int i = 0; i < times; ++i) {
@@ -52,12 +52,12 @@
 
 TEST(EndpointSelector, ATieGoesToTheLocalZoneWhereCrossingCosts) {
     Settings settings = make_settings();
-    settings.local_zone = 1;  // of endpoint 1: zones are id % 3
+    settings.local_zone = 1;  // the zone of endpoint 1; make_servers() sets zone to id % 3
     settings.fees.cross_zone = 0.1;
     SelectorFixture fixture(settings);
     fixture.list(2);
     fixture.endpoint(1).latency_ratio = 0.5;
-    fixture.admission.record_peer_latency_ratio(0.5);  // some utilisation
+    fixture.admission.record_peer_latency_ratio(0.5);  // utilisation above 0
     EXPECT_EQ(fixture.select_many(50)[1], 50);
 }
 
--- a/tests/balancer/endpoint_subset_test.cpp
+++ b/tests/balancer/endpoint_subset_test.cpp
@@ -53,33 +53,34 @@
     SubsetFixture fixture;
     fixture.list(100);
     fixture.arrive(50, 20);
-    EXPECT_EQ(fixture.ids().size(), 30U) << "each about once in 600 ms";
+    EXPECT_EQ(fixture.ids().size(), 30U) << "each endpoint gets about one request in 600 ms";
 }
 
-TEST(EndpointSubset, EjectedEndpointsAreMadeUpFor) {
+TEST(EndpointSubset, EjectedEndpointsAreReplaced) {
     SubsetFixture fixture;
     fixture.list(40);
     fixture.endpoint(2).ejection.eject(1e9, false);
-    EXPECT_EQ(fixture.ids().size(), 13U) << "the ejected one stays, for its trial";
+    EXPECT_EQ(fixture.ids().size(), 13U)
+        << "the ejected endpoint stays in the subset for its half-open trial";
 }
 
 TEST(EndpointSubset, AShortListAndMuchTrafficFillWindowsInTime) {
     SubsetFixture fixture;
     fixture.list(10);
     fixture.arrive(3, 20);
-    EXPECT_FALSE(fixture.subset.is_traffic_sparse()) << "a window takes 4 s";
+    EXPECT_FALSE(fixture.subset.is_traffic_sparse()) << "a window fills in 4 s";
 }
 
-TEST(EndpointSubset, SeldomRequestsAreSparseAndLowTraffic) {
+TEST(EndpointSubset, RareRequestsAreSparseAndLowTraffic) {
     SubsetFixture fixture;
     fixture.list(20);
     fixture.arrive(3, 100);
-    EXPECT_TRUE(fixture.subset.is_traffic_sparse()) << "a window takes 24 s";
-    EXPECT_FALSE(fixture.subset.is_traffic_low()) << "each gets a request in 1.2 s";
+    EXPECT_TRUE(fixture.subset.is_traffic_sparse()) << "a window fills in 24 s";
+    EXPECT_FALSE(fixture.subset.is_traffic_low()) << "each endpoint gets a request in 1.2 s";
     SubsetFixture slower;
     slower.list(20);
     slower.arrive(3, 500);
-    EXPECT_TRUE(slower.subset.is_traffic_low()) << "each gets a request in 6 s";
+    EXPECT_TRUE(slower.subset.is_traffic_low()) << "each endpoint gets a request in 6 s";
 }
 
 }  // namespace
--- a/tests/balancer/endpoint_table_test.cpp
+++ b/tests/balancer/endpoint_table_test.cpp
@@ -18,7 +18,7 @@
     EXPECT_EQ(fixture.table.listed_count(), 3U) << "a draining endpoint is still listed";
 }
 
-TEST(EndpointTable, AGoneEndpointStaysWhileItHasAttemptsInFlight) {
+TEST(EndpointTable, ARemovedEndpointStaysWhileItHasAttemptsInFlight) {
     ModuleFixture fixture;
     fixture.list(2);
     fixture.endpoint(2).in_flight = 1;
@@ -31,7 +31,7 @@
     EXPECT_EQ(fixture.table.find(2), nullptr);
 }
 
-TEST(EndpointTable, ARestartedEndpointBeginsWithAnEmptyRecord) {
+TEST(EndpointTable, ARestartedEndpointStartsWithAnEmptyRecord) {
     ModuleFixture fixture;
     fixture.list(1, 1000);
     fixture.endpoint(1).ejection.record(false);
@@ -41,8 +41,8 @@
     EXPECT_EQ(fixture.endpoint(1).ejection.outcomes(), 0);
 }
 
-TEST(EndpointTable, CapacityCountsWhatColdEndpointsCanDo) {
-    ModuleFixture fixture;  // a least share of 0.2, rising for 20 s
+TEST(EndpointTable, CapacityCountsTheSlowStartShareOfColdEndpoints) {
+    ModuleFixture fixture;  // slow-start share from 0.2, full after 20 s
     const AttemptStatistics statistics;
     const SlowStart slow_start(fixture.context, statistics);
     fixture.list(2);
--- a/tests/balancer/endpoint_watch_test.cpp
+++ b/tests/balancer/endpoint_watch_test.cpp
@@ -11,7 +11,7 @@
 
 struct WatchFixture : ModuleFixture {
     explicit WatchFixture(const Settings& settings = make_settings()) : ModuleFixture(settings) {}
-    /// The delay after a failed call.
+    /// Reports a failed call; returns the delay until the retry.
     Millis fail() {
         watch.schedule_retry();
         return actions_of<SetTimer>().back().at - context.now;
@@ -21,7 +21,7 @@
     EndpointWatch watch{context, timers};
 };
 
-TEST(EndpointWatch, TheDelayDoublesToItsLongestWithJitter) {
+TEST(EndpointWatch, TheDelayDoublesUpToTheMaximumWithJitter) {
     WatchFixture fixture;
     const Millis first = fixture.fail();
     EXPECT_GE(first, 0.5 * kFirstRetryDelay);
--- a/tests/balancer/failure_gossip_test.cpp
+++ b/tests/balancer/failure_gossip_test.cpp
@@ -35,12 +35,12 @@
     EXPECT_GE(sent.size(), 20U);
     EXPECT_LE(sent.size(), 25U);
     for (const SendGossip& message : sent) {
-        EXPECT_NE(message.to, 0U) << "not to ourselves";
+        EXPECT_NE(message.to, 0U) << "a sidecar does not report to itself";
         EXPECT_EQ(message.bytes, (std::vector<std::uint8_t>{0, 0, 0, 5}));
     }
 }
 
-TEST(FailureGossip, OneFailureSaysNothingAndTwoDoUntilASuccess) {
+TEST(FailureGossip, SuspicionStartsAtTwoFailuresAndEndsWithASuccess) {
     GossipFixture fixture;
     EndpointRecord& endpoint = fixture.endpoint(5);
     fixture.gossip.receive({1, {0, 0, 0, 5}}, fixture.table);
@@ -68,7 +68,7 @@
     EXPECT_EQ(fixture.gossip.suspicion(fixture.endpoint(5)), 0);
 }
 
-TEST(FailureGossip, WithEnoughTrafficItIsNotUsed) {
+TEST(FailureGossip, IsNotUsedWithEnoughTraffic) {
     GossipFixture fixture(/*interarrival=*/1);
     for (int i = 0; i < 5; ++i) fixture.gossip.record_failure(fixture.endpoint(5));
     EXPECT_TRUE(fixture.actions.empty());
--- a/tests/balancer/load_reports_test.cpp
+++ b/tests/balancer/load_reports_test.cpp
@@ -30,13 +30,13 @@
     LoadReports reports{fixture.context, subset};
 };
 
-TEST_F(LoadReportsTest, TheMeanOfTenAnswersIsSentInHundredths) {
+TEST_F(LoadReportsTest, TheMeanOfTenResponsesIsSentInHundredths) {
     for (int i = 0; i < 9; ++i) reports.record_latency_ratio(0.255);
     EXPECT_TRUE(fixture.actions.empty());
     reports.record_latency_ratio(0.255);
     const std::vector<SendGossip> sent = fixture.actions_of<SendGossip>();
     ASSERT_FALSE(sent.empty());
-    EXPECT_LE(sent.size(), 10U) << "one peer in sixteen";
+    EXPECT_LE(sent.size(), 10U) << "one sidecar in sixteen gets a report";
     EXPECT_EQ(sent[0].bytes, std::vector<std::uint8_t>{25});
 }
 
--- a/tests/balancer/module_fixture.hpp
+++ b/tests/balancer/module_fixture.hpp
@@ -1,4 +1,5 @@
-// For tests of one module of the decision library: a context that records actions, and an endpoint table.
+// Fixture for tests of a single module of the decision library: a context that records actions, and an
+// endpoint table.
 #pragma once
 
 #include <algorithm>
@@ -18,7 +19,7 @@
         context.actions = &actions;
     }
 
-    /// Lists endpoints 1 to count, all started at the same time.
+    /// Applies a full endpoint list with the endpoints 1 to count, all started at the same time.
     void list(EndpointId count, Millis started_at = 0) {
         table.apply({EndpointUpdateKind::full, make_servers(count, started_at)});
     }
@@ -37,7 +38,7 @@
     detail::EndpointTable table;
 };
 
-/// Of class 0, ten seconds before its deadline, not sent yet.
+/// A request of class 0, ten seconds before its deadline, without attempts.
 inline detail::Request make_request(const ModuleFixture& fixture, RequestId id = 1) {
     detail::Request request;
     request.id = id;
--- a/tests/balancer/outlier_detection_test.cpp
+++ b/tests/balancer/outlier_detection_test.cpp
@@ -43,7 +43,7 @@
     EXPECT_EQ(fail(3, 20), EjectionChange::none);
 }
 
-TEST_F(OutlierDetectionTest, SlowAnswersMayEjectAQuarterOfTheList) {
+TEST_F(OutlierDetectionTest, SlowResponsesMayEjectAQuarterOfTheList) {
     EXPECT_TRUE(outliers.may_eject(/*for_slowness=*/true));
     fail(1, 3);
     EXPECT_FALSE(outliers.may_eject(/*for_slowness=*/true));
--- a/tests/balancer/probe_races_test.cpp
+++ b/tests/balancer/probe_races_test.cpp
@@ -34,7 +34,7 @@
     Request request;
 };
 
-TEST_F(ProbeRacesTest, TheyAreWorthwhileBetweenAHealthyAndACollapsedPool) {
+TEST_F(ProbeRacesTest, RacesAreWorthwhileBetweenAHealthyAndACollapsedPool) {
     EXPECT_FALSE(races.is_worthwhile(request));
     fail(1);
     EXPECT_TRUE(races.is_worthwhile(request));
--- a/tests/balancer/request_scheduler_test.cpp
+++ b/tests/balancer/request_scheduler_test.cpp
@@ -41,10 +41,10 @@
     EXPECT_EQ(fixture.endpoint(sent[0].endpoint).in_flight, 1);
 }
 
-TEST(RequestScheduler, WithoutAnEndpointItWaitsAndIsThenRejected) {
+TEST(RequestScheduler, WithoutAnEndpointARequestWaitsAndIsThenRejected) {
     SchedulerFixture fixture;
     fixture.arrive(7);
-    EXPECT_EQ(fixture.actions_of<SetTimer>().size(), 2U) << "its deadline, and that of its waiting";
+    EXPECT_EQ(fixture.actions_of<SetTimer>().size(), 2U) << "the deadline and the queue deadline";
     fixture.context.now += 400.0 / 16;  // a sixteenth of the latency objective
     fixture.scheduler.schedule(*fixture.requests.find(7));
     const std::vector<RejectRequest> rejected = fixture.actions_of<RejectRequest>();
@@ -65,7 +65,7 @@
     EXPECT_EQ(sent[1].id, 7U);
 }
 
-TEST(RequestScheduler, CompletionCancelsWhatIsInFlightAndAnswersOnce) {
+TEST(RequestScheduler, CompletionCancelsAttemptsInFlightAndRespondsOnce) {
     SchedulerFixture fixture;
     fixture.list(2);
     fixture.arrive(7);
--- a/tests/balancer/request_table_test.cpp
+++ b/tests/balancer/request_table_test.cpp
@@ -30,7 +30,7 @@
     EXPECT_EQ(table.size(), 0U);
 }
 
-TEST(RequestTable, TheQueueLeavesOutWhatNoLongerWaits) {
+TEST(RequestTable, TakeQueueOmitsRequestsThatNoLongerWait) {
     RequestTable table;
     for (RequestId id = 1; id <= 4; ++id) {
         table.insert(id);
--- a/tests/balancer/retry_policy_test.cpp
+++ b/tests/balancer/retry_policy_test.cpp
@@ -30,7 +30,7 @@
     EXPECT_FALSE(fixture.policy.may_send(fixture.request, fixture.endpoint(1)));
 }
 
-TEST(RetryPolicy, WhatMayHaveRunIsRepeatedOnlyIfThatDoesNoHarm) {
+TEST(RetryPolicy, ARequestThatMayHaveRunIsRepeatedOnlyIfIdempotent) {
     RetryFixture once(Idempotency::not_idempotent);
     once.add_attempt(1);
     EXPECT_FALSE(once.policy.may_send(once.request, once.endpoint(2)));
@@ -41,7 +41,7 @@
     EXPECT_TRUE(repeatable.policy.may_reject(repeatable.request));
 }
 
-TEST(RetryPolicy, WhatNeverRanMayBeRepeatedAndRejected) {
+TEST(RetryPolicy, ARequestThatNeverRanMayBeRepeatedAndRejected) {
     RetryFixture fixture(Idempotency::not_idempotent);
     fixture.add_attempt(1, /*may_have_run=*/false);
     EXPECT_TRUE(fixture.policy.may_send(fixture.request, fixture.endpoint(2)));
@@ -52,7 +52,8 @@
     RetryFixture fixture(Idempotency::idempotent_with_key);
     fixture.add_attempt(1);
     const Millis deadline = RetryPolicy::repeat_deadline(fixture.request);
-    EXPECT_EQ(deadline, fixture.context.now + 3000 - 150) << "the write may be 150 ms late";
+    EXPECT_EQ(deadline, fixture.context.now + 3000 - 150)
+        << "the process may be stalled for 150 ms before the write";
     fixture.context.now = deadline - 1;
     EXPECT_TRUE(fixture.policy.may_send(fixture.request, fixture.endpoint(2)));
     fixture.context.now = deadline;
@@ -61,7 +62,7 @@
 }
 
 TEST(RetryPolicy, ARepeatWithAKeyStaysInItsDedupScope) {
-    RetryFixture fixture(Idempotency::idempotent_with_key, DedupScope::zone);  // zones are id % 3
+    RetryFixture fixture(Idempotency::idempotent_with_key, DedupScope::zone);  // zone is id % 3
     fixture.add_attempt(1);
     EXPECT_TRUE(fixture.policy.may_send(fixture.request, fixture.endpoint(4)));
     EXPECT_FALSE(fixture.policy.may_send(fixture.request, fixture.endpoint(2)));
@@ -73,7 +74,7 @@
     int retries = 0;
     for (; !policy.is_budget_exhausted(); ++retries) policy.record_retry();
     EXPECT_EQ(retries, 10);
-    for (int i = 0; i < 6; ++i) policy.record_request();  // one to spare for the sum's rounding
+    for (int i = 0; i < 6; ++i) policy.record_request();  // 5 suffice; the sixth covers rounding
     EXPECT_FALSE(policy.is_budget_exhausted());
     policy.record_retry();
     EXPECT_TRUE(policy.is_budget_exhausted());
