--- a/bench/module_bench.cpp
+++ b/bench/module_bench.cpp
@@ -1,5 +1,5 @@
-// What a decision costs by the length of the list: a request's path through the module, and a change of the
-// list. How it is built and run stands in docs/LIMITS.md.
+// Benchmarks of the decision library by the length of the endpoint list: the handling of a request, with and
+// without a retry, and a change of the list. docs/LIMITS.md describes how to build and run them.
 #include <benchmark/benchmark.h>
 
 #include "ochregrade/balancer.hpp"
@@ -8,52 +8,53 @@
 
 using namespace ochregrade;
 
-// One of many sidecars, with little traffic of its own, on a clock that the benchmark moves.
-struct Bench {
-    explicit Bench(std::size_t servers) : balancer(settings(), 7) {
+// The balancer of one sidecar with low traffic in a large fleet, on a simulated clock (milliseconds).
+struct BalancerBenchmark {
+    explicit BalancerBenchmark(std::size_t endpoints) : balancer(settings(), 7) {
         balancer.handle(now, Started{}, actions);
         EndpointUpdate list{EndpointUpdateKind::full, {}};
-        for (std::size_t i = 0; i < servers; ++i) {
+        for (std::size_t i = 0; i < endpoints; ++i) {
             Endpoint info;
             info.id = static_cast<EndpointId>(i * 2654435761u);
             info.zone = static_cast<ZoneId>(i % 3);
             list.endpoints.push_back(info);
         }
         balancer.handle(now, list, actions);
-        some = list.endpoints[servers / 2];
+        changing_endpoint = list.endpoints[endpoints / 2];
         for (int i = 0; i < 500; ++i) request(i % 10 != 0);
     }
     static Settings settings() {
         Settings s;
-        for (const double worth : {1.0, 2.0, 5.0}) {
+        for (const double priority_weight : {1.0, 2.0, 5.0}) {
             RequestClass c;
             c.idempotency = Idempotency::idempotent;
             c.latency_objective = 400;
-            c.priority_weight = worth;
+            c.priority_weight = priority_weight;
             s.classes.push_back(c);
         }
         s.sidecar_count = 350, s.sidecar_index = 111;
         s.gossip_allowed = true;
         return s;
     }
-    // It arrives, goes to a server and is answered, or has failed and is tried again.
-    void request(bool good) {
+    // Handles a request from its arrival to its response; unless first_succeeds, the first attempt fails and
+    // is retried.
+    void request(bool first_succeeds) {
         RequestArrived arrived;
-        arrived.id = ++last;
-        arrived.class_index = static_cast<std::uint32_t>(last % 3);
+        arrived.id = ++last_id;
+        arrived.class_index = static_cast<std::uint32_t>(last_id % 3);
         arrived.time_left = 1000;
         now += 100;
-        give(arrived);
+        handle_event(arrived);
         for (std::uint32_t attempt = 0; attempt < sent; ++attempt) {
-            AttemptEnded ended{last, attempt};
-            ended.outcome = good || attempt > 0 ? Outcome::success : Outcome::server_error;
+            AttemptEnded ended{last_id, attempt};
+            ended.outcome = first_succeeds || attempt > 0 ? Outcome::success : Outcome::server_error;
             ended.duration = 40;
             ended.request_ended = ended.outcome == Outcome::success;
             now += 40;
-            give(ended);
+            handle_event(ended);
         }
     }
-    void give(const Event& event) {
+    void handle_event(const Event& event) {
         actions.clear();
         balancer.handle(now, event, actions);
         if (std::holds_alternative<RequestArrived>(event)) sent = 0;
@@ -68,29 +69,30 @@
     }
     Balancer balancer;
     Millis now = 100000;
-    RequestId last = 0;
+    RequestId last_id = 0;
     std::uint32_t sent = 0;
-    Endpoint some;
+    Endpoint changing_endpoint;
     std::vector<Action> actions;
     std::vector<SetTimer> due;
 };
 
 void served(benchmark::State& state) {
-    Bench bench(static_cast<std::size_t>(state.range(0)));
-    for (auto _ : state) bench.request(true);
+    BalancerBenchmark sidecar(static_cast<std::size_t>(state.range(0)));
+    for (auto _ : state) sidecar.request(true);
 }
 
 void failed_and_tried_again(benchmark::State& state) {
-    Bench bench(static_cast<std::size_t>(state.range(0)));
-    for (auto _ : state) bench.request(false);
+    BalancerBenchmark sidecar(static_cast<std::size_t>(state.range(0)));
+    for (auto _ : state) sidecar.request(false);
 }
 
 void list_change(benchmark::State& state) {
-    Bench bench(static_cast<std::size_t>(state.range(0)));
+    BalancerBenchmark sidecar(static_cast<std::size_t>(state.range(0)));
     for (auto _ : state) {
-        bench.some.state =
-            bench.some.state == EndpointState::serving ? EndpointState::draining : EndpointState::serving;
-        bench.give(EndpointUpdate{EndpointUpdateKind::incremental, {bench.some}});
+        sidecar.changing_endpoint.state = sidecar.changing_endpoint.state == EndpointState::serving
+                                              ? EndpointState::draining
+                                              : EndpointState::serving;
+        sidecar.handle_event(EndpointUpdate{EndpointUpdateKind::incremental, {sidecar.changing_endpoint}});
     }
 }
 
