--- a/bench/module_bench.cpp
+++ b/bench/module_bench.cpp
@@ -10,17 +10,17 @@
 
 // The balancer of one sidecar with low traffic in a large fleet, on a simulated clock (milliseconds).
 struct BalancerBenchmark {
-    explicit BalancerBenchmark(std::size_t endpoints) : balancer(settings(), 7) {
+    explicit BalancerBenchmark(std::size_t servers) : balancer(settings(), 7) {
         balancer.handle(now, Started{}, actions);
         EndpointUpdate list{EndpointUpdateKind::full, {}};
-        for (std::size_t i = 0; i < endpoints; ++i) {
+        for (std::size_t i = 0; i < servers; ++i) {
             Endpoint info;
             info.id = static_cast<EndpointId>(i * 2654435761u);
             info.zone = static_cast<ZoneId>(i % 3);
             list.endpoints.push_back(info);
         }
         balancer.handle(now, list, actions);
-        changing_endpoint = list.endpoints[endpoints / 2];
+        changing_endpoint = list.endpoints[servers / 2];
         for (int i = 0; i < 500; ++i) request(i % 10 != 0);
     }
     static Settings settings() {
@@ -36,9 +36,9 @@
         s.gossip_allowed = true;
         return s;
     }
-    // Handles a request from its arrival to its response; unless first_succeeds, the first attempt fails and
-    // is retried.
-    void request(bool first_succeeds) {
+    // Handles a request from its arrival to its response; unless good, the first attempt fails and is
+    // retried.
+    void request(bool good) {
         RequestArrived arrived;
         arrived.id = ++last_id;
         arrived.class_index = static_cast<std::uint32_t>(last_id % 3);
@@ -47,7 +47,7 @@
         handle_event(arrived);
         for (std::uint32_t attempt = 0; attempt < sent; ++attempt) {
             AttemptEnded ended{last_id, attempt};
-            ended.outcome = first_succeeds || attempt > 0 ? Outcome::success : Outcome::server_error;
+            ended.outcome = good || attempt > 0 ? Outcome::success : Outcome::server_error;
             ended.duration = 40;
             ended.request_ended = ended.outcome == Outcome::success;
             now += 40;
@@ -77,22 +77,22 @@
 };
 
 void served(benchmark::State& state) {
-    BalancerBenchmark sidecar(static_cast<std::size_t>(state.range(0)));
-    for (auto _ : state) sidecar.request(true);
+    BalancerBenchmark bench(static_cast<std::size_t>(state.range(0)));
+    for (auto _ : state) bench.request(true);
 }
 
 void failed_and_tried_again(benchmark::State& state) {
-    BalancerBenchmark sidecar(static_cast<std::size_t>(state.range(0)));
-    for (auto _ : state) sidecar.request(false);
+    BalancerBenchmark bench(static_cast<std::size_t>(state.range(0)));
+    for (auto _ : state) bench.request(false);
 }
 
 void list_change(benchmark::State& state) {
-    BalancerBenchmark sidecar(static_cast<std::size_t>(state.range(0)));
+    BalancerBenchmark bench(static_cast<std::size_t>(state.range(0)));
     for (auto _ : state) {
-        sidecar.changing_endpoint.state = sidecar.changing_endpoint.state == EndpointState::serving
-                                              ? EndpointState::draining
-                                              : EndpointState::serving;
-        sidecar.handle_event(EndpointUpdate{EndpointUpdateKind::incremental, {sidecar.changing_endpoint}});
+        bench.changing_endpoint.state = bench.changing_endpoint.state == EndpointState::serving
+                                            ? EndpointState::draining
+                                            : EndpointState::serving;
+        bench.handle_event(EndpointUpdate{EndpointUpdateKind::incremental, {bench.changing_endpoint}});
     }
 }
 
--- a/include/ochregrade/settings.hpp
+++ b/include/ochregrade/settings.hpp
@@ -21,8 +21,8 @@
 /// Identifies a timer from its SetTimer to its TimerFired.
 using TimerToken = std::uint64_t;
 
-/// Whether a request may be sent again after it may have run: always, only with its idempotency key to
-/// endpoints that drop repeated keys, or never.
+/// Whether a request that may have run may be sent a second time, and so run twice: always, only with its
+/// idempotency key to endpoints that drop repeated keys, or never.
 enum class Idempotency { idempotent, idempotent_with_key, not_idempotent };
 
 /// Which endpoints share their record of idempotency keys (for Idempotency::idempotent_with_key).
@@ -39,10 +39,11 @@
     double priority_weight = 1;  ///< of one request, relative to other classes
 };
 
-/// Fees as shares of the total value of the requests, as operators state them; 0: the item is not charged.
+/// Fees as operators state them, in shares of the total value of the requests: the share that is lost if
+/// every request has one such attempt or probe. 0: no fee.
 struct Fees {
     double cross_zone = 0;  ///< for each attempt at an endpoint in another zone
-    double probe = 0;       ///< at one probe per request; proportionally more or less otherwise
+    double probe = 0;       ///< for each probe
 };
 
 struct Settings {
--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -91,8 +91,7 @@
 
 TEST(OutlierDetection, ThePanicThresholdKeepsHalfOfThePool) {
     Rig fixture = pool(6);
-    // The endpoints fail one after the other, so that each one is an outlier.
-    for (EndpointId failing = 1; failing <= 5; ++failing) {
+    for (EndpointId failing = 1; failing <= 5; ++failing) {  // one at a time, so that each is an outlier
         run_requests(fixture, 60, {failing}, Outcome::server_error);
         EXPECT_EQ(fixture.ejection_count(), std::min<int>(3, static_cast<int>(failing)));
     }
@@ -215,8 +214,7 @@
         fixture.end(id, Outcome::success, 10);
     }
     EXPECT_GT(load[9], 0);
-    EXPECT_LT(load[9], load[1] * 0.65)
-        << "its slow-start share after 4 s is about a third; the bound has a margin";
+    EXPECT_LT(load[9], load[1] * 0.65) << "slow-start share about a third after 4 s, plus a margin";
     fixture.pass(21000);
     load.clear();
     for (int i = 0; i < 400; ++i) {
@@ -252,13 +250,13 @@
 
 // retry_after is about a response time under overload, and the backoff if no endpoint is available.
 TEST(AdmissionControl, ARejectionHasARetryAfterTime) {
-    Rig loaded = pool(4);
-    for (int i = 0; i < 60; ++i) loaded.complete_all(loaded.burst(40, 5000), 600);
-    loaded.retry_advice.clear();
-    loaded.burst(200, 5000);
-    loaded.pass(100);
-    EXPECT_GE(loaded.retry_advice.size(), 100U);
-    for (const Millis advice : loaded.retry_advice) {
+    Rig crowd = pool(4);
+    for (int i = 0; i < 60; ++i) crowd.complete_all(crowd.burst(40, 5000), 600);
+    crowd.retry_advice.clear();
+    crowd.burst(200, 5000);
+    crowd.pass(100);
+    EXPECT_GE(crowd.retry_advice.size(), 100U);
+    for (const Millis advice : crowd.retry_advice) {
         EXPECT_GT(advice, 100);
         EXPECT_LE(advice, 600);
     }
@@ -281,7 +279,7 @@
         s.polled_discovery = polled;
         Rig fixture(s);
         fixture.handle_event(Started{});
-        EXPECT_EQ(fixture.count_actions<SubscribeEndpoints>(), polled ? 1 : 0);
+        EXPECT_EQ(fixture.count<SubscribeEndpoints>(), polled ? 1 : 0);
     }
 }
 
@@ -303,7 +301,7 @@
             const TimerToken token = fixture.timers.begin()->second;
             fixture.timers.clear();
             fixture.handle_event(TimerFired{token});
-            EXPECT_EQ(fixture.count_actions<SubscribeEndpoints>(), 1);
+            EXPECT_EQ(fixture.count<SubscribeEndpoints>(), 1);
         }
         EXPECT_GE(total, 2500);
         EXPECT_LE(last_delay, 3000);
--- a/tests/balancer/fleet_test.cpp
+++ b/tests/balancer/fleet_test.cpp
@@ -30,7 +30,7 @@
 }
 
 TEST(SlowStart, TheShareHoldsFromOneSidecarToAThousand) {
-    // The slow-start share is 0.2 at first; winning ties at most doubles it.
+    // The slow-start share is 0.2 at first; winning ties raises it to at most twice that.
     for (const auto& [sidecars, each] : {std::pair{1u, 4000}, {30u, 150}, {1000u, 4}}) {
         const double part = new_endpoint_share(sidecars, each, 40, 0);
         EXPECT_GT(part, 0.1) << sidecars;
@@ -96,7 +96,7 @@
     for (int i = 0; i < 60; ++i) {
         fixture.pass(interarrival);
         fixture.end(fixture.request(), Outcome::success, 0);
-        closed = fixture.count_actions<CloseIdleConnections>();
+        closed = fixture.count<CloseIdleConnections>();
     }
     return closed > 0;
 }
--- a/tests/balancer/rules_test.cpp
+++ b/tests/balancer/rules_test.cpp
@@ -245,9 +245,9 @@
     Settings polled = all_classes(false);
     polled.polled_discovery = true;
     fixture.change_settings(polled);
-    EXPECT_EQ(fixture.count_actions<SubscribeEndpoints>(), 1);
+    EXPECT_EQ(fixture.count<SubscribeEndpoints>(), 1);
     fixture.change_settings(polled);
-    EXPECT_EQ(fixture.count_actions<SubscribeEndpoints>(), 0) << "the sidecar is already subscribed";
+    EXPECT_EQ(fixture.count<SubscribeEndpoints>(), 0) << "the sidecar is already subscribed";
 }
 
 TEST(Rules, SameEventsGiveTheSameActions) {
--- a/tests/balancer/shared_evidence_test.cpp
+++ b/tests/balancer/shared_evidence_test.cpp
@@ -100,14 +100,13 @@
     ASSERT_TRUE(fixture.send_until_selected(server, Outcome::success));
     EXPECT_FALSE(fixture.published()) << "success alone is not published";
     ASSERT_TRUE(fixture.send_until_selected(server, Outcome::connection_reset));
-    const auto published = fixture.published();
-    ASSERT_TRUE(published);
-    EXPECT_EQ(published->endpoint, server);
-    EXPECT_NEAR(published->failures, 1, 0.01);
-    EXPECT_GT(published->successes, 0);
-    EXPECT_FALSE(published->ejected);
-    EXPECT_EQ(fixture.count_actions<SendGossip>(), 0)
-        << "shared evidence replaces the failure gossip of four bytes";
+    const auto share = fixture.published();
+    ASSERT_TRUE(share);
+    EXPECT_EQ(share->endpoint, server);
+    EXPECT_NEAR(share->failures, 1, 0.01);
+    EXPECT_GT(share->successes, 0);
+    EXPECT_FALSE(share->ejected);
+    EXPECT_EQ(fixture.count<SendGossip>(), 0) << "shared evidence replaces the failure gossip of four bytes";
     FleetEvidenceFixture alone(false);
     ASSERT_TRUE(alone.send_until_selected(alone.send_one(), Outcome::connection_reset));
     EXPECT_FALSE(alone.published());
--- a/tests/support/balancer_fixture.hpp
+++ b/tests/support/balancer_fixture.hpp
@@ -186,7 +186,7 @@
     std::size_t attempt_count(RequestId id) const { return requests.at(id).attempts.size(); }
     auto ejection_count() const { return std::count(logs.begin(), logs.end(), "removed from the pool"); }
     template <class T>
-    int count_actions() const {
+    int count() const {
         return static_cast<int>(
             std::count_if(last.begin(), last.end(), [](const Action& a) { return std::get_if<T>(&a); }));
     }
@@ -260,7 +260,7 @@
     void finish_all() {
         pass(60000);
         for (const auto& [id, r] : requests)
-            EXPECT_TRUE(is_ended(r)) << "rule 1: no final response to request " << id;
+            EXPECT_TRUE(is_ended(r)) << "rule 1: request " << id << " has no final response";
         EXPECT_EQ(balancer.usage().requests, 0U);
     }
 };
