--- a/src/balancer/endpoint_watch.cpp
+++ b/src/balancer/endpoint_watch.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-// Wait after the first failed call, and the longest, each between half and one and a half of it. A change
-// counts as known 6 s after discovery can be reached again: half of that is left to the next call.
+// Delay after the first failed call, and the longest delay; jitter multiplies each by 0.5 to 1.5. The
+// platform expects a sidecar to know a list change 6 s after discovery is reachable again. The longest delay
+// with jitter is half of that, which leaves the other half to the next call.
 constexpr Millis kFirstRetryDelay = 1000, kMaxRetryDelay = 2000;
 
 }  // namespace
@@ -15,12 +16,12 @@
 EndpointWatch::EndpointWatch(Context& context, Timers& timers)
     : context_(context), timers_(timers), delay_(kFirstRetryDelay) {}
 
-void EndpointWatch::subscribe() { context_.act(SubscribeEndpoints{true}); }
+void EndpointWatch::subscribe() { context_.append_action(SubscribeEndpoints{true}); }
 
 void EndpointWatch::schedule_retry() {
-    const Millis delay = std::min(delay_, longest_delay()) * (0.5 + context_.random.unit());
+    const Millis delay = std::min(delay_, max_delay()) * (0.5 + context_.random.unit());
     timers_.set(context_.now + delay, {TimerPurpose::resubscribe});
-    delay_ = std::min(delay_ * 2, longest_delay());
+    delay_ = std::min(delay_ * 2, max_delay());
 }
 
 void EndpointWatch::list_received(EndpointUpdateKind kind) {
@@ -29,9 +30,10 @@
     has_current_list_ = true;
 }
 
-// Four poll intervals after a failed call a change counts as known: a delay, half as long again at most,
-// leaves half of that time to the call.
-Millis EndpointWatch::longest_delay() const {
+// The longest delay before jitter. The platform expects a sidecar to know a list change four poll intervals
+// after a failed call. Jitter makes the delay at most half as long again, that is two poll intervals, which
+// leaves the other half of the time to the call.
+Millis EndpointWatch::max_delay() const {
     const Millis poll_interval = context_.settings->poll_interval;
     if (poll_interval <= 0) return kMaxRetryDelay;
     return std::min(kMaxRetryDelay, poll_interval * 4 / 3);
--- a/src/balancer/request_scheduler.cpp
+++ b/src/balancer/request_scheduler.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-// Share of the latency objective that a request may wait for an endpoint: what cannot be sent by then had
-// better be retried by its client.
+// Share of the latency objective for which a request may wait in the queue: after that, a retry by the client
+// has a better chance than further waiting.
 constexpr double kMaxWaitShare = 1.0 / 16;
-// The shortest advice on when to retry.
+// Shortest retry_after of a rejection.
 constexpr Millis kMinRetryAfter = 1;
 
 RequestClass class_of(const RequestArrived& arrived, const Settings& settings) {
     RequestClass request_class;
     if (arrived.class_index < settings.classes.size()) {
         request_class = settings.classes[arrived.class_index];
-    } else {  // unknown: what we know least about is handled with most care
+    } else {  // an unknown class gets the most restrictive treatment
         request_class.idempotency = Idempotency::not_idempotent;
         request_class.latency_objective = std::max(1.0, arrived.time_left);
     }
@@ -24,7 +24,7 @@
     return request_class;
 }
 
-// 1 where no class has any weight.
+// The highest priority weight of all classes; 1 if all weights are 0.
 double highest_priority_weight(const Settings& settings) {
     double highest = 0;
     for (const RequestClass& request_class : settings.classes)
@@ -58,12 +58,13 @@
         if (selection.kind == SelectionKind::endpoint) return send(request, *selection.first);
         if (selection.kind == SelectionKind::probe_race)
             parts_.races.start(request, *selection.first, *selection.second);
-        if (request.pending_probes > 0) return;  // the probes' ends schedule it
+        if (request.pending_probes > 0) return;  // probe_ended() continues when a probe ends
     }
     wait_for_endpoint(request);
 }
 
-// No endpoint may have it now. If one may later, it waits: at its queue deadline the timer completes it.
+// Queues a request that no endpoint can take now, or completes it if no endpoint will be able to take it in
+// time. The timer at the queue deadline completes a request that still waits then.
 void RequestScheduler::wait_for_endpoint(Request& request) {
     if (request.any_in_flight()) return;
     if (RetryPolicy::are_attempts_exhausted(request)) return complete(request, EndReason::attempts_exhausted);
@@ -75,7 +76,7 @@
 }
 
 void RequestScheduler::send(Request& request, EndpointRecord& endpoint) {
-    const bool trial = parts_.outliers.begin_trial(endpoint);
+    const bool trial = parts_.outliers.start_trial(endpoint);
     const Millis write_deadline = std::min(request.deadline, RetryPolicy::repeat_deadline(request));
     if (!request.attempts.empty()) parts_.retry_policy.record_retry();
     ++endpoint.in_flight;
@@ -84,7 +85,7 @@
     request.probe_rounds = 0;
     const Endpoint& info = endpoint.info;
     request.attempts.push_back({info.id, info.zone, info.cell, parts_.context.now, true, true, trial});
-    parts_.context.act(SendAttempt{request.id, info.id, request.deadline, write_deadline});
+    parts_.context.append_action(SendAttempt{request.id, info.id, request.deadline, write_deadline});
 }
 
 void RequestScheduler::schedule_queued() {
@@ -96,7 +97,7 @@
 
 void RequestScheduler::probe_ended(RequestId id, EndpointRecord* endpoint) {
     Request* request = parts_.requests.find(id);
-    if (!request || request->pending_probes == 0) return;  // it no longer waits
+    if (!request || request->pending_probes == 0) return;  // the request no longer waits for a probe
     if (endpoint && parts_.selector.may_use(*request, *endpoint)) {
         request->pending_probes = 0;
         send(*request, *endpoint);
@@ -109,14 +110,15 @@
     if (request.ended || request.streaming) return;
     cancel_attempts(request);
     if (parts_.retry_policy.may_reject(request))
-        parts_.context.act(RejectRequest{request.id, retry_after(request), reason});
+        parts_.context.append_action(RejectRequest{request.id, retry_after(request), reason});
     else
-        parts_.context.act(FailRequest{request.id, reason});
+        parts_.context.append_action(FailRequest{request.id, reason});
     request.ended = true;
     parts_.requests.note_ended(request.id);
 }
 
-// A mean answer from now there is capacity; where no endpoint is available, when the first backoff ends.
+// Milliseconds until the client should retry: the mean response time, after which there should be capacity;
+// if no endpoint is available, the time until the first backoff expires.
 Millis RequestScheduler::retry_after(const Request& request) const {
     Millis first_trial = kEjectionBackoff;
     for (const EndpointRecord* endpoint : parts_.endpoints.in_service()) {
@@ -131,7 +133,7 @@
 void RequestScheduler::cancel_attempts(const Request& request) {
     if (!request.settings->cancel_allowed) return;
     for (std::uint32_t i = 0; i < request.attempts.size(); ++i)
-        if (request.attempts[i].in_flight) parts_.context.act(CancelAttempt{request.id, i});
+        if (request.attempts[i].in_flight) parts_.context.append_action(CancelAttempt{request.id, i});
 }
 
 }  // namespace ochregrade::detail
