--- a/src/control/config.hpp
+++ b/src/control/config.hpp
@@ -1,5 +1,5 @@
-// The configuration, typed; each field is explained in docs/CONFIGURATION.md. Including this header also
-// gives the errors, the endpoint list, the file and the candidates.
+// The typed configuration; docs/CONFIGURATION.md explains each field. This header also includes the headers
+// of the validation errors, the endpoint list, the configuration file and the candidates.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -21,17 +21,17 @@
 
 using boost::asio::ip::udp;
 
-/// How a new version of the configuration is tried before it counts as good.
+/// The conditions under which the canary of a new version of the configuration passes or fails.
 struct CanaryRule {
-    Millis duration = 0;           // 0: without a canary
-    double max_drop = 0.05;        // of the share of requests served
-    std::size_t min_samples = 50;  // answers without which there is no verdict
+    Millis duration = 0;           // 0: no canary
+    double max_drop = 0.05;        // largest accepted fall of the share of requests served, 0 to 1
+    std::size_t min_samples = 50;  // final responses needed before the canary is evaluated
 };
 
 /// The sidecar's part in the replicated state of the fleet (docs/REPLICATION.md).
 struct ReplicationConfig {
     bool enabled = false;
-    bool version_agreement = true;  // newer versions that other members act on are fetched
+    bool version_agreement = true;  // fetch newer versions that other members act on
     Millis probe_period = 1000, gossip_period = 100, sync_period = 2000;
     bool operator==(const ReplicationConfig&) const = default;
 };
@@ -50,13 +50,13 @@
     std::optional<tcp::endpoint> operator_endpoint;
     CanaryRule canary;
     ReplicationConfig replication;
-    std::uint32_t epoch = 0;          // of the settings, set by operators; 0: not versioned
-    double rollout_share = 1;         // of the fleet that is to act on this epoch
-    std::uint32_t settings_hash = 0;  // of the settings that all sidecars have in common
-    std::string state_directory;      // empty: none
-    Millis stable_uptime = 2000;      // a run as long as this does not count towards a crash loop
+    std::uint32_t epoch = 0;          // version of the settings, set by operators; 0: not versioned
+    double rollout_share = 1;         // share of the fleet that acts on this epoch, 0 to 1
+    std::uint32_t settings_hash = 0;  // hash of the settings that all sidecars have in common
+    std::string state_directory;      // empty: no state is stored
+    Millis stable_uptime = 2000;      // a run that lasts this long does not count towards a crash loop
 
-    Settings settings;  // without local_zone: zones are numbered by the running process
+    Settings settings;  // local_zone is not set: each process assigns its own numbers to the zones
     std::optional<std::string> local_zone;
     std::vector<std::string> classes;
     Millis connect_timeout = 1000;
@@ -64,18 +64,19 @@
     Millis longest_deadline = 3000;
     Millis max_retry_after = 1000;
 
-    // The JSON that it was read from, without unknown and start-only fields.
+    // The JSON document that this Config was read from, without unknown and start-only fields.
     std::string document;
 
-    /// Whether this sidecar is among the share of the fleet that acts on the epoch; a hash of its index and
-    /// the epoch decides, so that every sidecar knows the answer for all.
+    /// Whether this sidecar belongs to the share of the fleet that acts on the epoch. A hash of the sidecar's
+    /// index and the epoch decides, so the result needs no coordination between sidecars.
     bool in_rollout() const;
-    /// Whether it takes part in replication: enabled, allowed to gossip, and with an index within the fleet.
+    /// Whether this sidecar takes part in replication: replication is enabled, gossip is allowed and the
+    /// sidecar's index lies within the fleet.
     bool joins_replication() const;
-    /// Index of a class by its name; classes.size() if there is none.
+    /// Index of the class with this name; classes.size() if there is no such class.
     std::size_t class_index(std::string_view class_name) const;
 };
-/// Reads a document as parse_config gives it. Throws ConfigError with all errors found.
+/// Reads a document that parse_config() returned. Throws ConfigError with all errors found.
 Config read_config(const nlohmann::json& json);
 
 }  // namespace ochregrade::sidecar
--- a/src/control/config_candidate.cpp
+++ b/src/control/config_candidate.cpp
@@ -37,7 +37,7 @@
             errors.add(field, "is not known");
     if (candidate.is_object()) {
         keep_fixed(candidate, json::parse(running.document));
-        candidate.erase("known");  // start-only: what a candidate says of these two changes nothing
+        candidate.erase("known");  // "known" and "seed" are start-only: a candidate's values are ignored
         candidate["seed"] = "0";
     }
     Config config = read_document(candidate, errors);
--- a/src/control/config_error.hpp
+++ b/src/control/config_error.hpp
@@ -1,4 +1,4 @@
-// What is wrong with a configuration or an endpoint list: each error names the field that it is about.
+// Validation errors of a configuration or an endpoint list. Each error names the invalid field.
 #pragma once
 
 #include <cstddef>
@@ -9,28 +9,28 @@
 namespace ochregrade::sidecar {
 
 struct ValidationError {
-    std::string field;  // its path, as "settings.classes[0].name"
-    std::string what;   // continues the path: "is missing"
+    std::string field;  // path of the field: "settings.classes[0].name"
+    std::string what;   // the error, as a phrase after the path: "is missing"
 };
 
-/// Thrown by everything that reads a configuration. Carries all errors found, not only the first.
+/// Thrown when a configuration or an endpoint list can't be read. Holds all errors found.
 struct ConfigError : std::runtime_error {
     explicit ConfigError(std::vector<ValidationError> all);
     ConfigError(const std::string& field, const std::string& what);
     std::vector<ValidationError> errors;
 };
 
-/// Collects errors while a document is read to its end, at most one for each field.
+/// Collects the errors found while a document is read completely, at most one error for each field.
 class ValidationErrors {
 public:
-    /// Beyond this many, add() drops errors: a document that is wrong throughout needs no more.
+    /// Maximum number of errors that add() collects, so that a document full of errors gets a short report.
     static constexpr std::size_t kMaxErrors = 50;
 
     void add(const std::string& field, const std::string& what);
-    /// The same without the limit.
+    /// Like add(), but without the limit kMaxErrors.
     void add_unlimited(const std::string& field, const std::string& what);
     bool empty() const { return errors_.empty(); }
-    /// Throws ConfigError with all of them if there are any.
+    /// Throws ConfigError with all collected errors if there are any.
     void throw_if_any() const;
 
 private:
--- a/src/control/config_file.cpp
+++ b/src/control/config_file.cpp
@@ -37,7 +37,7 @@
     File(const File&) = delete;
     File& operator=(const File&) = delete;
 
-    // Its status if it is open and a regular file.
+    // The file's status; none if the file could not be opened or is not a regular file.
     std::optional<struct stat> regular_status() const {
         struct stat status {};
         if (descriptor_ < 0 || ::fstat(descriptor_, &status) != 0 || !S_ISREG(status.st_mode)) return {};
@@ -66,7 +66,7 @@
            a.st_mtim.tv_sec == b.st_mtim.tv_sec && a.st_mtim.tv_nsec == b.st_mtim.tv_nsec;
 }
 
-// How deep brackets outside of strings nest.
+// Nesting depth of the brackets outside of strings.
 int nesting_depth(std::string_view text) {
     int depth = 0;
     int deepest = 0;
@@ -85,7 +85,8 @@
     return deepest;
 }
 
-// Gives a section under its former name the present one; two sections contradict each other.
+// Renames a section kFormerSection to kOwnSection. A document with both sections is rejected, because they
+// may contradict each other.
 void rename_former_section(json& document, const std::string& source) {
     if (!document.is_object() || !document.contains(kFormerSection)) return;
     if (document.contains(kOwnSection))
@@ -95,7 +96,7 @@
     document.erase(kFormerSection);
 }
 
-// Once in a process, however often the file is read.
+// Logs one warning per process, although each reload reads the file.
 void warn_of_former_section(const std::string& text) {
     static bool warned = false;
     if (warned || !json::parse(text, nullptr, false).contains(kFormerSection)) return;
@@ -120,7 +121,7 @@
 
 json parse_config(std::string_view text, const std::string& source) {
     if (text.size() > kMaxFileBytes) throw ConfigError(source, "is too long");
-    // Checked before parsing: the parser is recursive.
+    // The depth is checked before parsing, because the parser is recursive and could exhaust the stack.
     if (nesting_depth(text) > kMaxDepth) throw ConfigError(source, "is nested too deep");
     json document = json::parse(text, nullptr, false);
     if (document.is_discarded()) throw ConfigError(source, "is not JSON");
@@ -139,11 +140,11 @@
         text = file.read_all();
         const auto after = file.regular_status();
         struct stat at_path {};
-        // The text is complete if the file is unchanged and still the one at the path.
+        // The text is complete if the file did not change while it was read and is still the file at `path`.
         if (after && ::stat(path, &at_path) == 0 && same_file(*before, *after) && same_file(*after, at_path))
             return text;
     }
-    return text;  // written to all the time: the text is validated like any other
+    return text;  // the file changed during every read; validation rejects the text if it is incomplete
 }
 
 json start_document() {
--- a/src/control/config_file.hpp
+++ b/src/control/config_file.hpp
@@ -1,5 +1,5 @@
-// The configuration as text: the file that NODE_CONFIG names, the variables that override it, and the bounds
-// within which text is taken for JSON at all.
+// The configuration as text: reads the file that NODE_CONFIG names, applies the environment variables that
+// override fields of the file, and limits the size and nesting depth of the JSON text.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -8,23 +8,27 @@
 
 namespace ochregrade::sidecar {
 
-/// The program's own section of the configuration, and its name up to version 0.1, read for one release more.
+/// Name of the program's own section of the configuration, and the name that the section had up to version
+/// 0.1. This release still reads the former name; the next release does not.
 constexpr const char* kOwnSection = "ochregrade";
 constexpr const char* kFormerSection = "cobaltshift";
 
-/// Text to JSON, with bounds on size and depth. Throws ConfigError that names `source`. A section under its
-/// former name gets the present one.
+/// Parses JSON text of limited size and depth, and renames a section kFormerSection to kOwnSection. Throws a
+/// ConfigError that names `source`.
 nlohmann::json parse_config(std::string_view text, const std::string& source);
 
-/// The text of the file that NODE_CONFIG names. One that is replaced while it is read is read once more.
-/// Throws ConfigError.
+/// Returns the text of the file that NODE_CONFIG names. A file that is replaced while it is read is read
+/// again. Throws ConfigError.
 std::string read_config_file();
 
-/// The file at the start; NODE_NAME, NODE_LISTEN and NODE_DISCOVERY override it. Throws ConfigError.
+/// Returns the document to start with: the file, with NODE_NAME, NODE_LISTEN and NODE_DISCOVERY applied.
+/// Throws ConfigError.
 nlohmann::json start_document();
-/// The file after a reload; it overrides NODE_DISCOVERY, since it is what has changed. Throws ConfigError.
+/// Returns the document for a reload: the file, with NODE_NAME and NODE_LISTEN applied. NODE_DISCOVERY is
+/// ignored, so that a changed file can move the process to another discovery address. Throws ConfigError.
 nlohmann::json reload_document();
-/// Logs the fields that the table of fields does not have; the platform may add fields of its own.
+/// Logs the names of the fields that config_fields() does not contain. Unknown fields are not errors here,
+/// because the platform may add fields of its own to the file.
 void log_unknown_fields(const nlohmann::json& document);
 
 }  // namespace ochregrade::sidecar
--- a/src/control/config_parser.cpp
+++ b/src/control/config_parser.cpp
@@ -97,7 +97,7 @@
     if (root.has("known")) config.known_endpoints = read_endpoint_list(root["known"]);
 }
 
-// The balancer's own checks, should they ever ask for more than the parser does.
+// Runs the balancer's own validation, which may be stricter than the parser.
 void check_settings(const Config& config, ValidationErrors& errors) {
     try {
         validate(config.settings);
@@ -106,7 +106,7 @@
     }
 }
 
-// Of what all sidecars of a fleet have in common.
+// Hashes the settings that all sidecars of a fleet have in common.
 std::uint32_t hash_settings(json settings) {
     settings.erase("my-number");
     settings.erase("my-zone");
--- a/src/control/config_parser.hpp
+++ b/src/control/config_parser.hpp
@@ -1,5 +1,5 @@
-// From a JSON document to the typed Config. The fields' meaning and units: config_schema.cpp and
-// docs/CONFIGURATION.md.
+// Converts a JSON document into the typed Config. The meaning and the units of the fields stand in
+// config_schema.cpp and docs/CONFIGURATION.md.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -8,10 +8,10 @@
 
 namespace ochregrade::sidecar {
 
-/// Reads all of it. What comes back means something only if no error was added.
+/// Reads the complete document. The result is valid only if no error was added to `errors`.
 Config read_document(const nlohmann::json& document, ValidationErrors& errors);
 
-/// Reads the section "settings" and the classes in it.
+/// Reads the section "settings", including the request classes, into `config`.
 void read_settings(Config& config, const JsonField& settings);
 
 }  // namespace ochregrade::sidecar
--- a/src/control/config_schema.cpp
+++ b/src/control/config_schema.cpp
@@ -107,7 +107,7 @@
     {"settings.worth-by", unused, "", "the platform's"},
 };
 
-// What the table says of a path: it is a field, it has fields below it, or it is unknown.
+// Result of looking up a path in the table: a field, the parent of fields, or unknown.
 struct Lookup {
     const FieldInfo* field = nullptr;
     bool has_fields_below = false;
@@ -130,17 +130,19 @@
         }
         found.has_fields_below |= path.empty() || is_below(known, path);
     }
-    // "settings.limits.*" says nothing of settings.limits itself: other fields are below it.
+    // "settings.limits.*" does not make settings.limits itself a field, because the table has other fields
+    // below settings.limits.
     if (found.has_fields_below) found.field = nullptr;
     return found;
 }
 
-// Copies a document without its unknown and start-only fields, and collects the paths of unknown ones.
+// Copies a document without its unknown and start-only fields, and collects the paths of the unknown fields.
 class DocumentFilter {
 public:
     explicit DocumentFilter(std::size_t max_unknown) : max_unknown_(max_unknown) {}
 
-    // `path` names items of lists by their index, `pattern` by "[]" as in the table. None: left out.
+    // `path` contains the index of each list item, `pattern` contains "[]" in its place, as in the table.
+    // Returns nothing for a value that is not copied.
     std::optional<json> copy(const json& value, const std::string& path, const std::string& pattern) {
         const Lookup found = find_field(pattern);
         if (found.field) {
@@ -197,8 +199,8 @@
     return "unused";
 }
 
-std::vector<std::string> unknown_fields(const json& config, std::size_t most) {
-    DocumentFilter filter(most);
+std::vector<std::string> unknown_fields(const json& config, std::size_t max_fields) {
+    DocumentFilter filter(max_fields);
     filter.copy(config, "", "");
     return filter.unknown();
 }
--- a/src/control/config_schema.hpp
+++ b/src/control/config_schema.hpp
@@ -1,5 +1,5 @@
-// The table of the configuration's fields, which unknown_fields(), version_document() and the table in
-// docs/CONFIGURATION.md derive from.
+// The table of all configuration fields. unknown_fields(), version_document() and the table in
+// docs/CONFIGURATION.md are derived from it.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -11,13 +11,13 @@
 
 enum class FieldKind {
     live,        // changes with each version
-    start_only,  // read at the start; ignored in candidates
-    fixed,       // candidates that change it are rejected
-    unused       // the platform's; accepted and ignored
+    start_only,  // read at the start of the process; ignored in candidates
+    fixed,       // a candidate that changes the field is rejected
+    unused       // defined by the platform; accepted and ignored
 };
 
 struct FieldInfo {
-    const char* path;  // "[]" stands for each item of a list, a final "*" for everything below
+    const char* path;  // "[]" matches each item of a list, a final "*" matches all fields below
     FieldKind kind;
     const char* form;
     const char* meaning;
@@ -25,13 +25,13 @@
 std::span<const FieldInfo> config_fields();
 const char* to_string(FieldKind kind);
 
-/// The paths in a configuration that the table does not have, at most `most` of them.
-std::vector<std::string> unknown_fields(const nlohmann::json& config, std::size_t most = 20);
+/// The paths of fields in a configuration that the table does not contain, at most `max_fields` of them.
+std::vector<std::string> unknown_fields(const nlohmann::json& config, std::size_t max_fields = 20);
 
-/// The configuration without unknown and start-only fields: the content of a version.
+/// The content of a configuration version: the configuration without unknown and start-only fields.
 nlohmann::json version_document(const nlohmann::json& config);
 
-/// The table as it is in docs/CONFIGURATION.md.
+/// The table in the Markdown form that docs/CONFIGURATION.md contains.
 std::string fields_as_markdown();
 
 }  // namespace ochregrade::sidecar
--- a/src/control/config_versions.cpp
+++ b/src/control/config_versions.cpp
@@ -22,7 +22,8 @@
     }
     const std::uint64_t content = content_version != 0 ? content_version : number;
     retained_.push_back({std::move(snapshot), content, source, State::good, now, {}});
-    // A rollback has no canary: the version left is no baseline, and its target was good once.
+    // A rollback has no canary: the version that it replaces is no valid baseline, and its target was already
+    // found good.
     const bool is_new = source == Source::file || source == Source::operators;
     if (rule.duration > 0 && fallback != 0 && is_new) begin_canary(rule, fallback, now);
     drop_oldest();
@@ -32,7 +33,7 @@
     Entry& entry = retained_.back();
     entry.state = State::canary;
     canary_ = Canary{rule, fallback, recent(now), {}, now};
-    // A request that is going to fail takes up to its deadline to do so.
+    // A failing request may take until its deadline to fail, so a shorter canary would miss the failures.
     canary_->rule.duration = std::max(rule.duration, entry.snapshot->config.longest_deadline);
 }
 
@@ -48,7 +49,7 @@
 }
 
 void ConfigVersions::record_answer(std::uint64_t version, bool served, Millis now) {
-    // A canary's answers are no baseline for others before it is found good.
+    // The responses of a running canary do not count for the baseline of later canaries.
     if (canary_ && version == current().number()) return canary_->observed.count(served);
     const auto index = static_cast<std::int64_t>(now / kSecond);
     Second& second = seconds_[static_cast<std::size_t>(index) % seconds_.size()];
@@ -74,14 +75,14 @@
     const auto answers = static_cast<unsigned long long>(observed.all);
     std::array<char, 160> reason{};
     if (observed.all >= rule.min_samples) {
-        // A baseline of too few answers says nothing: the canary then has to serve all but max_drop.
+        // A baseline with too few responses is not reliable: the canary is then compared with a share of 1.
         const double before = canary_->baseline.all >= rule.min_samples ? canary_->baseline.value() : 1;
         if (observed.value() >= before - rule.max_drop) return {};
         std::snprintf(reason.data(), reason.size(), "share served fell from %.3f to %.3f (%llu answers)",
                       before, observed.value(), answers);
         return reason.data();
     }
-    // No data is not health.
+    // A canary with too few samples fails once its extension is over: missing data is no proof of health.
     if (now < canary_->started_at + rule.duration * kMaxExtension) return {};
     std::snprintf(reason.data(), reason.size(), "only %llu answers of %zu within its trial", answers,
                   rule.min_samples);
@@ -126,7 +127,7 @@
     return newest != retained_.rend() ? &*newest : nullptr;
 }
 
-// The oldest go first, but never the one that a canary may have to be rolled back to.
+// Drops the oldest versions, but never the version that the canary may have to be rolled back to.
 void ConfigVersions::drop_oldest() {
     while (retained_.size() > kMaxRetained) {
         const bool needed = canary_ && retained_.front().number() == canary_->fallback;
--- a/src/control/endpoint_list.cpp
+++ b/src/control/endpoint_list.cpp
@@ -33,7 +33,7 @@
         endpoint.state = item["health"].named<EndpointState>({{"SERVING", EndpointState::serving},
                                                               {"DRAINING", EndpointState::draining},
                                                               {"DELETED", EndpointState::gone}});
-        // What is gone needs no address any more.
+        // A removed endpoint needs no address.
         if (endpoint.state != EndpointState::gone || item.has("dial"))
             endpoint.address = item["dial"].endpoint<tcp>();
         if (item.has("site")) endpoint.zone = item["site"].text();
--- a/src/control/endpoint_list.hpp
+++ b/src/control/endpoint_list.hpp
@@ -1,5 +1,5 @@
-// The list of endpoints in discovery's JSON form: what a discovery call answers, what the configuration's
-// field "known" holds, and what the state folder stores.
+// The endpoint list and its JSON form, which is used in discovery's responses, in the field "known" of the
+// configuration and in the state folder.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -17,26 +17,26 @@
 /// One endpoint as discovery lists it.
 struct ListedEndpoint {
     std::string name;
-    tcp::endpoint address;  // unspecified where the endpoint is gone
+    tcp::endpoint address;  // unspecified for a removed endpoint
     std::string zone;
     std::uint32_t cell = 0;
     EndpointState state = EndpointState::serving;
-    Millis started_at = 0;  // Unix time by discovery's clock; 0: long ago
+    Millis started_at = 0;  // Unix time by discovery's clock, ms; 0: unknown, treated as long ago
     double capacity_weight = 1;
 };
 
 struct EndpointList {
     std::uint64_t seq = 0;  // discovery's sequence number
-    bool complete = false;  // all endpoints; otherwise only those that changed
+    bool complete = false;  // true: all endpoints; false: only the endpoints that changed
     std::vector<ListedEndpoint> endpoints;
 };
 
-/// Reads discovery's form; throws ConfigError.
+/// Reads a list in discovery's JSON form. Throws ConfigError.
 EndpointList parse_endpoint_list(const nlohmann::json& json);
-/// The same from JSON that is already in a JsonField; errors go to the field's collector.
+/// Reads a list from a JsonField; errors are added to the field's ValidationErrors.
 class JsonField;
 EndpointList read_endpoint_list(const JsonField& field);
-/// A complete list in discovery's form, as parse_endpoint_list reads it.
+/// Writes a complete list in the JSON form that parse_endpoint_list() reads.
 nlohmann::json endpoint_list_json(const EndpointList& list);
 
 }  // namespace ochregrade::sidecar
--- a/src/control/json_field.cpp
+++ b/src/control/json_field.cpp
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-// Milliseconds, over eleven days: beyond that the clocks' doubles lose precision.
+// In milliseconds, more than eleven days. Beyond that the doubles that hold times lose precision.
 constexpr Millis kLongestDuration = 1e9;
 
 }  // namespace
--- a/src/control/json_field.hpp
+++ b/src/control/json_field.hpp
@@ -1,6 +1,6 @@
-// Typed reading of a JSON document. A JsonField is a place in the document that knows its own path, so that
-// an error names it. Errors are collected and reading goes on with a value of no meaning: whoever reads the
-// document throws them all at the end.
+// Typed access to a JSON document. A JsonField refers to a value in the document and holds the path of the
+// value for error messages. Errors are collected in ValidationErrors, and reading continues with a
+// placeholder value; the reader of the document throws all collected errors at the end.
 #pragma once
 
 #include <boost/asio/ip/basic_endpoint.hpp>
@@ -17,7 +17,7 @@
 
 namespace ochregrade::sidecar {
 
-/// An IP address and a port, from "127.0.0.1:9000" or "[::1]:9000"; none if the text is neither.
+/// An IP address and a port, parsed from "127.0.0.1:9000" or "[::1]:9000"; none for any other text.
 struct AddressAndPort {
     boost::asio::ip::address address;
     std::uint16_t port = 0;
@@ -26,35 +26,39 @@
 
 class JsonField {
 public:
-    /// `value` null: the field is missing, which has been reported. `errors` must outlive the field.
+    /// `value` null: the field is missing, and the error has already been reported. `errors` must outlive the
+    /// field.
     JsonField(const nlohmann::json* value, std::string path, ValidationErrors& errors)
         : value_(value), path_(std::move(path)), errors_(&errors) {}
 
-    /// Adds an error about this field; only the first one counts, what follows from it is noise.
+    /// Adds an error about this field. Only the first error of a field is retained, because later ones
+    /// usually follow from the first.
     void report(const std::string& what) const { errors_->add(path_, what); }
-    /// Whether a field of that name is present and not null.
+    /// Whether this object has a field `name` that is not null.
     bool has(const std::string& name) const { return child(name).value_ != nullptr; }
-    /// The field of that name; one that is missing is reported.
+    /// Returns the field `name` and reports an error if it is missing.
     JsonField operator[](const std::string& name) const;
     std::vector<JsonField> items() const;
 
     std::string text() const;
-    double number() const;  // finite
+    double number() const;  ///< finite
     double non_negative() const;
     Millis duration() const;
-    double fraction() const;  // from 0 to 1
+    double fraction() const;  ///< 0 to 1
     bool flag() const;
     template <class T = std::uint32_t>
     T unsigned_integer() const;
     template <class Protocol>
     boost::asio::ip::basic_endpoint<Protocol> endpoint() const;
-    /// The value that stands for the text. The first one of `names` if the text is unknown.
+    /// Returns the value of the entry of `names` that has this text. Reports an unknown text as an error and
+    /// returns the value of the first entry.
     template <class T>
     T named(const std::vector<std::pair<const char*, T>>& names) const;
 
 private:
     JsonField child(const std::string& name) const;
-    // False also for a missing value, which has been reported as such.
+    // Whether the value has the type that `test` checks; reports an error if not. Returns false for a missing
+    // value without another error, because operator[] has already reported it.
     bool is(bool (nlohmann::json::*test)() const noexcept, const char* type) const;
 
     const nlohmann::json* value_;
--- a/src/control/listen_with_retry.hpp
+++ b/src/control/listen_with_retry.hpp
@@ -1,5 +1,5 @@
-// Opening the sockets whose addresses the configuration gives: an address that stays taken is an error of its
-// field.
+// Opens sockets at addresses from the configuration. An address that another process does not release in time
+// is reported as an error of the configuration field that contains the address.
 #pragma once
 
 #include <sstream>
@@ -10,8 +10,8 @@
 
 namespace ochregrade::sidecar {
 
-/// open_with_retry() for a socket that listens on `address`, which the configuration's `field` gives. Throws
-/// ConfigError if another process has the address.
+/// Calls open_with_retry() for a socket that listens on `address`, which the configuration field `field`
+/// contains. Throws ConfigError if another process uses the address, and otherwise what `open` throws.
 template <class Endpoint, class Open>
 auto listen_with_retry(const char* field, const Endpoint& address, Open open) {
     try {
--- a/src/control/metrics.cpp
+++ b/src/control/metrics.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-// Writes families of samples in the text format.
+// Writes metric families and their samples in the Prometheus text format.
 class MetricsWriter {
 public:
     void family(const char* name, const char* type, const char* help) {
         text_ << "# HELP ochregrade_" << name << ' ' << help << "\n# TYPE ochregrade_" << name << ' ' << type
               << '\n';
     }
-    // `labels` with their braces, or empty.
+    // `labels`: the labels including the braces, or empty.
     template <class T>
     void sample(const char* name, T value, const std::string& labels = "") {
         text_ << "ochregrade_" << name << labels << ' ' << value << '\n';
@@ -31,7 +31,7 @@
         family(name, "counter", help);
         sample(name, value);
     }
-    // One sample for each element of `counts`, labelled with label_at(its index).
+    // Writes one sample for each element of `counts`; label_at(index) returns the label value of an element.
     template <class Counts, class LabelAt>
     void samples(const char* name, const Counts& counts, const char* label, LabelAt label_at,
                  const std::string& other_labels = "") {
@@ -44,7 +44,7 @@
     std::ostringstream text_;
 };
 
-// Label of an enumerator by its index.
+// Label value of the enumerator with this index.
 template <class Enum>
 std::string_view label_of(std::size_t index) {
     return to_string(static_cast<Enum>(index));
--- a/src/control/metrics.hpp
+++ b/src/control/metrics.hpp
@@ -1,5 +1,5 @@
-// The page /metrics: counters and gauges of one sidecar in the Prometheus text format 0.0.4. The names are
-// an interface to dashboards (docs/OBSERVABILITY.md) and do not change.
+// Renders the page /metrics: counters and gauges of one sidecar in the Prometheus text format 0.0.4.
+// Dashboards depend on the metric names (docs/OBSERVABILITY.md), so the names do not change.
 #pragma once
 
 #include <string>
--- a/src/control/operator_endpoint.cpp
+++ b/src/control/operator_endpoint.cpp
@@ -34,7 +34,7 @@
             start_session(std::move(socket));
             return accept();
         }
-        // Out of descriptors or memory: accepting at once again would spin.
+        // The process is out of descriptors or memory; accepting again at once would be a busy loop.
         log_line("operator endpoint: accept failed: " + ec.message());
         retry_.expires_after(kAcceptRetry);
         retry_.async_wait([this](error_code cancelled) {
@@ -44,7 +44,7 @@
 }
 
 void OperatorEndpoint::start_session(tcp::socket socket) {
-    // The oldest one is closed for a new one, so that idle ones can't lock operators out.
+    // A new session replaces the oldest session, so that idle sessions can't lock operators out.
     if (sessions_.size() >= kMaxSessions) {
         if (const auto oldest = sessions_.front().lock()) oldest->close();
         sessions_.pop_front();
--- a/src/control/operator_endpoint.hpp
+++ b/src/control/operator_endpoint.hpp
@@ -1,5 +1,6 @@
-// The operators' endpoint: HTTP on loopback, off unless the configuration names an address. It decides
-// nothing and keeps no state of its own; what it may take of the process is bounded.
+// The operators' endpoint: an HTTP listener on loopback, disabled unless the configuration contains an
+// address for it. The endpoint forwards each request to the Node and holds no state except its connections,
+// whose number, time and size are limited.
 #pragma once
 
 #include <list>
@@ -27,7 +28,7 @@
     Node& node_;
     tcp::acceptor acceptor_;
     asio::steady_timer retry_;
-    std::list<std::weak_ptr<OperatorSession>> sessions_;  // the oldest first
+    std::list<std::weak_ptr<OperatorSession>> sessions_;  // oldest first
 };
 
 }  // namespace ochregrade::sidecar
--- a/src/control/operator_json.cpp
+++ b/src/control/operator_json.cpp
@@ -16,7 +16,7 @@
     return {{"served", share.served}, {"answers", share.all}};
 }
 
-// Null without a state folder.
+// Null if no state folder is configured.
 json state_store_json(const StateStore* store) {
     if (!store) return nullptr;
     const auto counts = store->counts();
@@ -30,7 +30,7 @@
     return view;
 }
 
-// What this sidecar acts on, as it has told the other members.
+// The versions that this sidecar acts on, as it published them to the other members.
 json own_versions_json(const replication::Replica& replica) {
     const auto versions = replica.member(replica.self()).versions();
     if (!versions) return nullptr;
@@ -38,7 +38,7 @@
     return {{"epoch", own.epoch}, {"hash", own.hash}, {"list", {own.list_incarnation, own.list_seq}}};
 }
 
-// Null where this sidecar takes no part in replication.
+// Null if this sidecar does not take part in replication.
 json replication_json(const ReplicationDriver* replication) {
     if (!replication) return nullptr;
     const replication::Replica& replica = replication->replica();
--- a/src/control/operator_json.hpp
+++ b/src/control/operator_json.hpp
@@ -1,5 +1,5 @@
-// The JSON views of the operators' endpoint (docs/CONFIGURATION.md). The keys are an interface: "generation"
-// is a version of the configuration, "trial" its canary, "complaints" are validation errors.
+// The JSON documents of the operators' endpoint (docs/CONFIGURATION.md). Operators' tools depend on the keys:
+// "generation" is a version of the configuration, "trial" is its canary, "complaints" are validation errors.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -10,9 +10,9 @@
 
 class Node;
 
-/// One retained version, without its content.
+/// A retained version of the configuration without its content.
 nlohmann::json version_json(const ConfigVersions::Entry& entry);
-/// The canary that is under way; null without one.
+/// The running canary; null if there is none.
 nlohmann::json canary_json(const Node& node);
 /// The page /v1/status.
 nlohmann::json status_json(const Node& node);
--- a/src/control/operator_requests.cpp
+++ b/src/control/operator_requests.cpp
@@ -31,7 +31,7 @@
     return http::status::ok;
 }
 
-// `body`: fields that the answer has besides those of every change.
+// `body`: additional fields of the response, besides the fields that every change has.
 HttpResponse change_response(const Node& node, const ConfigChange& change, json body = json::object()) {
     body["result"] = to_string(change.result);
     body["generation"] = change.version;
@@ -61,7 +61,7 @@
     return options;
 }
 
-// The differences as "replace /settings/limits/max-attempts".
+// The differences, each as a text like "replace /settings/limits/max-attempts".
 json describe_changes(const json& before, const json& after) {
     json changes = json::array();
     for (const auto& step : json::diff(before, after))
@@ -80,7 +80,7 @@
     const json before = json::parse(node.driver().snapshot()->config.document);
     const ConfigChange change = node.change(candidate, ConfigVersions::Source::operators, true, options);
     if (change.result != ConfigChange::Result::valid) return change_response(node, change);
-    keep_fixed(candidate, before);  // fixed fields that it leaves out stay and are no difference
+    keep_fixed(candidate, before);  // omitted fixed fields keep their values and are no difference
     const json changes = describe_changes(before, version_document(candidate));
     return change_response(node, change, {{"changes", changes}});
 }
@@ -108,8 +108,8 @@
     return response;
 }
 
-// A page in a browser on this machine must not reach what only operators may: it sends an Origin, or the name
-// of its own site as Host (DNS rebinding).
+// Rejects requests from web pages in a browser on this machine, which must not reach the operators' endpoint.
+// Such a request has an Origin header, or the name of the page's own site in the Host header (DNS rebinding).
 void check_origin(const HttpRequest& request) {
     if (request.count(http::field::origin) > 0)
         throw OperatorError(http::status::forbidden, "calls from web pages are refused");
--- a/src/control/operator_requests.hpp
+++ b/src/control/operator_requests.hpp
@@ -1,4 +1,5 @@
-// Requests of operators: from the target and the body to a call on the Node and its answer. No sockets.
+// Handles HTTP requests of operators: parses the target and the body, calls the Node and builds the response.
+// This module does not use sockets.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -13,7 +14,7 @@
 /// A response with a JSON body.
 HttpResponse json_response(http::status status, const nlohmann::json& body);
 
-/// Carries out one request. Every error becomes a response.
+/// Carries out one request. Errors are returned as responses, never thrown.
 HttpResponse handle_operator_request(Node& node, const HttpRequest& request);
 
 }  // namespace ochregrade::sidecar
--- a/src/control/operator_session.hpp
+++ b/src/control/operator_session.hpp
@@ -1,5 +1,5 @@
-// One connection of an operator: reads requests one after the other and writes their answers. Bounded in
-// time and in size.
+// One connection of an operator: reads requests one after the other and writes the responses. Each request is
+// limited in time and size.
 #pragma once
 
 #include <memory>
@@ -13,12 +13,13 @@
 
 class Node;
 
-/// Lives as long as its connection: its handlers share its ownership. `node` must outlive the loop's run.
+/// The handlers of the connection share the ownership of the session, so it exists as long as its connection.
+/// `node` must exist until the event loop has stopped.
 class OperatorSession : public std::enable_shared_from_this<OperatorSession> {
 public:
     OperatorSession(Node& node, tcp::socket socket);
 
-    /// Waits for the next request.
+    /// Starts to read the next request.
     void read();
     void close();
 
--- a/src/control/settings_parser.cpp
+++ b/src/control/settings_parser.cpp
@@ -1,4 +1,5 @@
-// The section "settings": what the balancer is told of requests, retries and endpoints.
+// Reads the section "settings", which configures how the balancer treats requests, retries and endpoints.
+// docs/CONFIGURATION.md lists the fields with their units.
 #include <algorithm>
 
 #include "control/config_parser.hpp"
