--- a/bench/guarantee_rows.py
+++ b/bench/guarantee_rows.py
@@ -761,7 +761,7 @@
     ),
     Guarantee(
         "no signal kills a process that is exiting",
-        [Edit(MAIN, "    mask_signals(SIG_BLOCK);  // for good", "    // for good")],
+        [Edit(MAIN, "    mask_signals(SIG_BLOCK);  // until exit", "    // until exit")],
         CRASH_TESTS,
         "PlannedStops.EndWithZeroUnderNewConfigurationsUpToTheLastMoment",
     ),
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,6 +1,6 @@
-// The program ochregrade: one sidecar. Exit codes: 0 stopped as asked, 1 failed to start or run, 2 invalid
-// configuration or usage. --check only validates the file that NODE_CONFIG names, --fields prints the table
-// of its fields.
+// The program ochregrade: one sidecar process. --check only validates the configuration file that NODE_CONFIG
+// names; --fields prints the table of configuration fields. Exit codes: 0 graceful shutdown, or --check or
+// --fields succeeded; 1 failed to start or run; 2 invalid configuration or usage.
 #include <csignal>
 #include <iostream>
 #include <nlohmann/json.hpp>
@@ -20,12 +20,12 @@
 
 using namespace ochregrade::sidecar;
 
-// Signals with a handler. Without one, before it is installed or after it is gone, any of them would kill the
-// process.
+// Signals with a handler. Before its handler is installed and after its handler is removed, any of these
+// signals would terminate the process, so they are blocked at those times.
 constexpr int kHandledSignals[] = {SIGTERM, SIGINT, SIGHUP};
 
-// `how`: SIG_BLOCK or SIG_UNBLOCK, for this thread and those that it starts from here on. Blocked signals
-// stay pending.
+// Blocks (SIG_BLOCK) or unblocks (SIG_UNBLOCK) the handled signals for this thread and for the threads that
+// it starts later. Blocked signals stay pending.
 void mask_signals(int how) {
     sigset_t set;
     sigemptyset(&set);
@@ -41,7 +41,7 @@
     });
 }
 
-// Returns after a planned stop, when no request is unanswered.
+// Runs the sidecar until a graceful shutdown has ended all requests.
 void serve(asio::io_context& io, asio::signal_set& stop, asio::signal_set& reload) {
     Node node(io, prepare_start());
     stop.async_wait([&](error_code ec, int) {
@@ -53,7 +53,7 @@
         node.reload();
     };
     reload.async_wait(on_reload);
-    // An exception in one handler, std::bad_alloc above all, must not end the requests of all others.
+    // An exception in one handler, most likely std::bad_alloc, must not end all other requests.
     while (!io.stopped()) {
         try {
             io.run();
@@ -70,7 +70,7 @@
     const auto reload = open_signals(*io, {SIGHUP});
     mask_signals(SIG_UNBLOCK);
     serve(*io, *stop, *reload);
-    mask_signals(SIG_BLOCK);  // for good: a signal between here and the process's end has no effect
+    mask_signals(SIG_BLOCK);  // until exit: signals that arrive from here on have no effect
 }
 
 void check_config() {
@@ -82,7 +82,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    std::signal(SIGPIPE, SIG_IGN);  // the log's reader may go away; the sidecar goes on
+    std::signal(SIGPIPE, SIG_IGN);  // the sidecar keeps running after the reader of its log has exited
     const std::string_view argument = argc > 1 ? argv[1] : "";
     if (argument == "--fields") {
         std::cout << fields_as_markdown();
--- a/src/process/canary_watch.cpp
+++ b/src/process/canary_watch.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// A fiftieth of the canary's duration, within these bounds.
+// The interval between checks is a fiftieth of the canary's duration, within these bounds in ms.
 constexpr double kChecksPerCanary = 50;
 constexpr Millis kShortestInterval = 20;
 constexpr Millis kLongestInterval = 500;
@@ -36,7 +36,7 @@
 void CanaryWatch::check() {
     const auto rollback = versions_.due(clock_.now());
     if (!versions_.canary()) handlers_.passed();
-    // A rollback is a commit, after which watch() has been called.
+    // A successful rollback is a commit, which has already called watch().
     if (rollback && handlers_.failed(*rollback)) return;
     watch();
 }
--- a/src/process/canary_watch.hpp
+++ b/src/process/canary_watch.hpp
@@ -1,4 +1,4 @@
-// Checks regularly whether the canary of a new version has passed or failed.
+// Checks at regular intervals whether the canary of a new configuration version has passed or failed.
 #pragma once
 
 #include <functional>
@@ -14,15 +14,15 @@
 public:
     struct Handlers {
         std::function<void()> passed;
-        /// False: it could not be rolled back now and is to be tried once more.
+        /// Carries out the rollback. Returns false if it failed now and has to be retried.
         std::function<bool(const ConfigVersions::Rollback&)> failed;
     };
-    /// `versions`, and what the handlers use, must outlive it.
+    /// `versions` and all objects that the handlers use must outlive the CanaryWatch.
     CanaryWatch(asio::io_context& io, const Clock& clock, ConfigVersions& versions, Handlers handlers);
 
-    /// Watches the canary that is under way, if there is one. To be called after each commit.
+    /// Starts to check the running canary, if there is one. Must be called after each commit.
     void watch();
-    /// For good: the process ends, and the canary stays undecided.
+    /// Stops checking permanently. Called when the process shuts down; a running canary stays undecided.
     void stop();
 
 private:
--- a/src/process/config_change.hpp
+++ b/src/process/config_change.hpp
@@ -1,4 +1,4 @@
-// A change of the configuration while the process runs: what is asked for and how it ended.
+// Changes of the configuration while the process runs: their options, results and counts.
 #pragma once
 
 #include <cstdint>
@@ -10,19 +10,19 @@
 
 namespace ochregrade::sidecar {
 
-/// How a change ended. The texts of to_string are part of the operators' JSON.
+/// The result of a change. The texts that to_string() returns are part of the operators' JSON.
 struct ConfigChange {
     enum class Result {
         applied,
-        unchanged,  // the content is in force already
-        staged,     // meant for a part of the fleet that this sidecar does not belong to
-        valid,      // a dry run: it could be applied
-        rejected,   // nothing has changed; errors say why
-        conflict,   // another version is in force than expected, or there is none to roll back to
-        missing     // no such version is retained
+        unchanged,  // the same content was already in force
+        staged,     // the rollout share excludes this sidecar, so the candidate was not applied
+        valid,      // a dry run found that the candidate can be applied
+        rejected,   // the configuration is unchanged; `errors` contains the reasons
+        conflict,   // the version in force is not the expected one, or no version to roll back to exists
+        missing     // the requested version is not retained
     };
     Result result = Result::rejected;
-    std::uint64_t version = 0;  // in force now
+    std::uint64_t version = 0;  // version in force after the change
     std::vector<ValidationError> errors{};
     std::string note{};
 };
@@ -30,20 +30,20 @@
 
 struct ConfigChangeOptions {
     bool dry_run = false;
-    std::optional<std::uint64_t> expected_version{};  // that must be in force
-    std::optional<CanaryRule> canary{};               // instead of the candidate's own
+    std::optional<std::uint64_t> expected_version{};  // version that must be in force
+    std::optional<CanaryRule> canary{};               // replaces the candidate's own rule
 };
 
-/// Since the start of the process.
+/// Counts and times (ms) of configuration changes since the start of the process.
 struct ConfigCounts {
     std::uint64_t applied = 0;
     std::uint64_t rejected = 0;
     std::uint64_t unchanged = 0;
     std::uint64_t rolled_back = 0;           // by operators
-    std::uint64_t canaries_rolled_back = 0;  // by themselves
-    Millis last_commit = 0;                  // how long the event loop paused for it
+    std::uint64_t canaries_rolled_back = 0;  // because the canary failed
+    Millis last_commit = 0;                  // pause of the event loop for the latest commit
     Millis longest_commit = 0;
-    Millis longest_change = 0;  // with reading, checking and preparing
+    Millis longest_change = 0;  // including parsing, validation and preparation
 };
 
 }  // namespace ochregrade::sidecar
--- a/src/process/config_manager.cpp
+++ b/src/process/config_manager.cpp
@@ -14,7 +14,7 @@
 using Result = ConfigChange::Result;
 using Source = ConfigVersions::Source;
 
-// Epochs go forward only, and one epoch means the same settings everywhere.
+// Epochs never decrease, and an epoch identifies the same settings in the whole fleet.
 void check_epoch(const Config& config, const ConfigSnapshot& running) {
     if (config.epoch < running.epoch)
         throw ConfigError("ochregrade.epoch", "goes back from " + std::to_string(running.epoch) +
@@ -66,7 +66,7 @@
         result = try_change(candidate, source, strict, options);
     } catch (const ConfigError& error) {
         return reject(error.errors, options.dry_run);
-    } catch (const std::exception& error) {  // out of memory above all
+    } catch (const std::exception& error) {  // most likely std::bad_alloc
         return reject({{"the configuration", error.what()}}, options.dry_run);
     }
     if (result.result == Result::applied) {
@@ -145,7 +145,7 @@
 ConfigManager::Prepared ConfigManager::prepare(Config config) {
     Prepared prepared;
     check_descriptors(config, parts_.driver.snapshot()->config);
-    prepared.replaces_peers = parts_.peers.differs(config);
+    prepared.replaces_peers = parts_.peers.needs_replacement(config);
     if (prepared.replaces_peers) {
         try {
             prepared.peers = parts_.peers.open(config);
@@ -157,7 +157,7 @@
     return prepared;
 }
 
-// A version of an earlier run may have other fixed fields than this one.
+// A version from an earlier run may have different fixed fields, so the running values replace them.
 ConfigManager::Prepared ConfigManager::prepare_version(const ConfigVersions::Entry& entry) {
     const Config& running = parts_.driver.snapshot()->config;
     nlohmann::json document = nlohmann::json::parse(entry.snapshot->config.document);
@@ -169,11 +169,12 @@
     return prepare(read_candidate(document, running, false));
 }
 
-// Nothing here waits or fails: nothing else happens in this process from the first line to the last.
+// The commit neither waits nor fails, and runs in one turn of the event loop: no other handler sees a partly
+// applied configuration.
 void ConfigManager::commit(Prepared prepared, Source source, std::uint64_t content_version,
                            const CanaryRule& rule) {
     const Millis start = parts_.clock.now();
-    const ConfigSnapshotPtr before = parts_.driver.snapshot();  // alive until the end of the commit
+    const ConfigSnapshotPtr before = parts_.driver.snapshot();  // not destroyed before the end of the commit
     const bool is_rollback = source == Source::rollback || source == Source::canary;
     if (is_rollback && before->epoch > 0) prepared.snapshot->epoch = before->epoch + 1;
     apply(prepared);
@@ -205,8 +206,8 @@
 
 void ConfigManager::persist_config() { parts_.persistence.persist_config(parts_.versions, file_document_); }
 
-// A request that the canary rejects though the version before would have taken it counts as not served. One
-// that both reject says nothing of either.
+// A request that is invalid under the canary's version but valid under the fallback version counts as not
+// served. A request that is invalid under both is not evidence against the canary.
 void ConfigManager::invalid_request(const ConfigSnapshotPtr& snapshot, const HttpRequest& head) {
     const auto& canary = parts_.versions.canary();
     if (!canary || snapshot->version != parts_.versions.current().number()) return;
--- a/src/process/config_manager.hpp
+++ b/src/process/config_manager.hpp
@@ -1,6 +1,6 @@
-// Changes of the configuration while the process runs (docs/CONFIGURATION.md). A candidate is read, checked
-// and prepared, which may fail and then leaves everything as it was; then it is committed to all parts in one
-// turn of the event loop.
+// Changes the configuration while the process runs (docs/CONFIGURATION.md). A candidate is first parsed,
+// validated and prepared; if one of these steps fails, the running configuration is unchanged. The candidate
+// is then committed to all components in one turn of the event loop.
 #pragma once
 
 #include <cstdint>
@@ -21,12 +21,12 @@
 
 namespace ochregrade::sidecar {
 
-/// A snapshot of a configuration that is going to be that version.
+/// Creates the snapshot of a configuration under a version number. `zones` numbers the local zone.
 std::shared_ptr<ConfigSnapshot> make_snapshot(Config config, std::uint64_t version, Zones& zones);
 
 class ConfigManager {
 public:
-    /// What a commit changes; all must outlive the manager.
+    /// The components that a commit changes; all must outlive the manager.
     struct Parts {
         asio::io_context& io;
         const Clock& clock;
@@ -39,18 +39,19 @@
         ReplicationLink& replication;
         StatePersistence& persistence;
     };
-    /// `file_document`: of the file when it was last accepted; empty: it was not.
+    /// `file_document`: document of the configuration file as last accepted; empty if it was never accepted.
     ConfigManager(Parts parts, std::string file_document);
 
-    /// `strict` rejects unknown fields.
+    /// Applies a candidate, or only validates it for a dry run. `strict`: unknown fields are errors.
     ConfigChange change(const nlohmann::json& candidate, ConfigVersions::Source source, bool strict,
                         const ConfigChangeOptions& options);
-    /// To a retained version; without a number to ConfigVersions::previous().
+    /// Rolls back to a retained version, by default to ConfigVersions::previous(). `expected`: the version
+    /// that must be in force.
     ConfigChange roll_back(std::optional<std::uint64_t> version, std::optional<std::uint64_t> expected);
-    /// The file could not be read at all.
+    /// Counts a rejected change. Also called for a configuration file that can't be read.
     void count_rejected() { ++counts_.rejected; }
 
-    /// A request that did not fit the configuration it began with.
+    /// Called with a request that is invalid under the configuration in force when the request started.
     void invalid_request(const ConfigSnapshotPtr& snapshot, const HttpRequest& head);
     void persist_config();
     void stop_canary_watch() { canary_watch_.stop(); }
@@ -58,11 +59,11 @@
     const ConfigCounts& counts() const { return counts_; }
 
 private:
-    // Everything that a commit needs, so that it can't fail.
+    // All that a commit needs. Steps that can fail are done before the commit, so that the commit can't fail.
     struct Prepared {
         std::shared_ptr<ConfigSnapshot> snapshot;
         bool replaces_peers = false;
-        std::shared_ptr<GossipTransport> peers;  // the replacement; null: no socket
+        std::shared_ptr<GossipTransport> peers;  // replaces the current transport; null: no socket
     };
     ConfigChange try_change(const nlohmann::json& candidate, ConfigVersions::Source source, bool strict,
                             const ConfigChangeOptions& options);
--- a/src/process/config_reloader.cpp
+++ b/src/process/config_reloader.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-// A change has to take effect within 4 s; a file that can't be read is read again for most of this.
+// A change must take effect within 4 s of the signal; a file that can't be read is retried for most of that
+// time.
 constexpr int kMaxAttempts = 30;
 constexpr std::chrono::milliseconds kRetryInterval{100};
 
@@ -26,7 +27,8 @@
     });
 }
 
-// A file that can't be read may be half written, and nobody may say when it is complete.
+// A file that can't be parsed may be partly written. No second signal may follow once the file is complete,
+// so the file is read again at intervals.
 void ConfigReloader::read_file(int attempts_left) {
     retry_timer_.cancel();
     ConfigChange change;
@@ -34,7 +36,7 @@
         change = manager_.change(reload_document(), ConfigVersions::Source::file, false, {});
     } catch (const ConfigError& error) {
         if (attempts_left > 1) retry(attempts_left - 1);
-        if (attempts_left < kMaxAttempts) return;  // has been logged and counted
+        if (attempts_left < kMaxAttempts) return;  // the first failure has been logged and counted
         change.errors = error.errors;
         manager_.count_rejected();
     }
--- a/src/process/config_reloader.hpp
+++ b/src/process/config_reloader.hpp
@@ -1,5 +1,5 @@
-// Reads the configuration file when it is said to have changed (SIGHUP, or other members act on newer
-// settings) and makes it a candidate.
+// Reads the configuration file again after SIGHUP or when other members act on newer settings, and passes the
+// document to the ConfigManager as a candidate.
 #pragma once
 
 #include <utility>
@@ -11,10 +11,10 @@
 
 class ConfigReloader {
 public:
-    /// `manager` must outlive it.
+    /// `manager` must outlive the ConfigReloader.
     ConfigReloader(asio::io_context& io, ConfigManager& manager);
 
-    /// Reads the file in a later turn of the loop. Calls until then count as one.
+    /// Reads the file in a later turn of the event loop. Further calls before that turn have no effect.
     void reload();
 
 private:
--- a/src/process/graceful_shutdown.cpp
+++ b/src/process/graceful_shutdown.cpp
@@ -6,17 +6,18 @@
 
 namespace {
 
-// New connections arrive for a while after the signal.
+// Clients still open new connections for a short time after the signal.
 constexpr std::chrono::milliseconds kAcceptFor{600};
-// Idle ones are closed this much before the last are accepted: a client whose request crosses the close
-// retries on a new connection.
+// Idle connections are closed this long before the listening socket: a client that sends a request just as
+// its connection is closed can still retry on a new connection.
 constexpr std::chrono::milliseconds kRetryWindow{100};
 constexpr std::chrono::milliseconds kPollInterval{10};
-// After the longest deadline nothing can be pending any more; the kill is near.
-constexpr Millis kLastMoment = 500;
-// Requests that arrive late in the drain are answered this long before the last moment. However long the
-// deadlines, the kill may come 0.7 s after the longest one or after kKillAfter.
-constexpr Millis kAnswerTime = 50;
+// The process exits this long after the longest deadline: no request can be pending then, and SIGKILL may
+// follow 0.7 s after the deadline.
+constexpr Millis kExitMargin = 500;
+// Requests that arrive late in the drain get their response this long before the process may exit. SIGKILL
+// may follow 0.7 s after the longest deadline, or 0.7 s after kKillAfter for deadlines beyond kKillAfter.
+constexpr Millis kResponseMargin = 50;
 constexpr Millis kKillAfter = 3000;
 
 }  // namespace
@@ -28,8 +29,9 @@
 void GracefulShutdown::start(std::function<void()> done) {
     done_ = std::move(done);
     const Millis longest_deadline = driver_.snapshot()->config.longest_deadline;
-    end_at_ = clock_.now() + longest_deadline + kLastMoment;
-    reject_incomplete_at_ = clock_.now() + std::min(longest_deadline, kKillAfter) + kLastMoment - kAnswerTime;
+    end_at_ = clock_.now() + longest_deadline + kExitMargin;
+    reject_incomplete_at_ =
+        clock_.now() + std::min(longest_deadline, kKillAfter) + kExitMargin - kResponseMargin;
     listener_.drain(reject_incomplete_at_);
     timer_.expires_after(kAcceptFor - kRetryWindow);
     timer_.async_wait([this](error_code ec) {
@@ -56,8 +58,8 @@
     });
 }
 
-// Requests that began under an older configuration may have longer deadlines than the one in force at the
-// signal; each of them is waited for.
+// Requests that started under an older configuration may have longer deadlines than the configuration in
+// force at the signal allows. The shutdown waits for each of them.
 bool GracefulShutdown::finished(bool all_accepted) const {
     if (driver_.pending_requests() != 0) return false;
     return (all_accepted && !listener_.busy()) || clock_.now() >= end_at_;
--- a/src/process/graceful_shutdown.hpp
+++ b/src/process/graceful_shutdown.hpp
@@ -1,5 +1,6 @@
-// A planned stop (docs/ENDINGS.md): connections are accepted for a while longer, since clients learn of the
-// stop late; then requests in flight end, each at its own deadline at the latest.
+// Graceful shutdown (docs/ENDINGS.md). New connections are accepted for a short time after the signal,
+// because clients are notified of the shutdown late. Then requests in flight end, each at its own deadline at
+// the latest.
 #pragma once
 
 #include <functional>
@@ -13,12 +14,12 @@
 
 class GracefulShutdown {
 public:
-    /// The parts must outlive it.
+    /// All arguments must outlive the GracefulShutdown.
     GracefulShutdown(asio::io_context& io, const Clock& clock, Listener& listener,
                      const BalancerDriver& driver);
 
-    /// To be called once. `done` is called when no request is unanswered, or at the latest when all deadlines
-    /// have passed and nothing is pending.
+    /// Starts the shutdown; must be called only once. `done` is called when no request is pending and either
+    /// all connections are closed or the longest deadline has passed 0.5 s ago.
     void start(std::function<void()> done);
     bool started() const { return static_cast<bool>(done_); }
 
--- a/src/process/node.hpp
+++ b/src/process/node.hpp
@@ -1,4 +1,4 @@
-// One sidecar: all its parts, wired together. Not thread-safe: everything runs on the loop of one io_context.
+// One sidecar: owns and connects all components. Not thread-safe: all components run on one io_context.
 #pragma once
 
 #include <functional>
@@ -25,22 +25,23 @@
 
 class Node {
 public:
-    /// Throws ConfigError or boost::system::system_error if it can't listen. May wait for addresses to become
-    /// free (listen_with_retry.hpp).
+    /// Opens all sockets and starts. Throws ConfigError or boost::system::system_error if a socket can't be
+    /// opened. May block while an address is still in use (listen_with_retry.hpp).
     Node(asio::io_context& io, Config config);
-    /// The same with what an earlier run has left.
+    /// Like the above, and restores the state of an earlier run.
     Node(asio::io_context& io, Start start);
     ~Node();
     tcp::endpoint endpoint() const { return listener_.endpoint(); }
-    /// Of operators; none: it is off.
+    /// Address of the operators' endpoint; none if it is disabled.
     std::optional<tcp::endpoint> admin_endpoint() const;
 
-    /// A planned stop (GracefulShutdown); only the first call counts.
+    /// Starts a graceful shutdown (GracefulShutdown), which calls `done` at its end. Later calls have no
+    /// effect.
     void stop(std::function<void()> done);
-    /// The configuration file has changed.
+    /// Reads the configuration file again and applies it.
     void reload() { reloader_.reload(); }
 
-    /// See ConfigManager.
+    /// See ConfigManager::change() and ConfigManager::roll_back().
     ConfigChange change(const nlohmann::json& candidate, ConfigVersions::Source source, bool strict,
                         const ConfigChangeOptions& options) {
         return config_manager_.change(candidate, source, strict, options);
@@ -55,11 +56,11 @@
     const Listener& listener() const { return listener_; }
     const DiscoveryClient& discovery() const { return discovery_; }
     const Clock& clock() const { return clock_; }
-    /// Null: it may not gossip.
+    /// Null if gossip is not allowed or no address for it is configured.
     GossipTransport* peers() { return peers_.transport(); }
-    /// Null: it takes no part in the replicated state.
+    /// Null if this sidecar does not take part in replication.
     const ReplicationDriver* replication() const { return replication_.driver(); }
-    /// Null: no state folder is configured.
+    /// Null if no state folder is configured.
     StateStore* state_store() const { return persistence_.store(); }
     bool stopping() const { return shutdown_.started(); }
     BalancerDriver::Usage usage() const { return driver_.usage(); }
@@ -70,7 +71,8 @@
     void datagram_received(std::uint32_t from, std::vector<std::uint8_t> bytes);
     void endpoints_received(const EndpointList& list);
 
-    // Parts refer only to parts above them, except through handlers that the loop calls once all are there.
+    // Each component refers only to components declared above it, except in handlers, which the event loop
+    // calls after the construction of all components.
     asio::io_context& io_;
     Clock clock_;
     Zones zones_;
--- a/src/process/peer_link.cpp
+++ b/src/process/peer_link.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-bool wants_socket(const Config& config) { return config.peer_listen && config.settings.gossip_allowed; }
+bool needs_socket(const Config& config) { return config.peer_listen && config.settings.gossip_allowed; }
 
 }  // namespace
 
@@ -15,13 +15,13 @@
     if (transport_) transport_->stop();
 }
 
-bool PeerLink::differs(const Config& config) const {
-    if (!wants_socket(config)) return transport_ != nullptr;
+bool PeerLink::needs_replacement(const Config& config) const {
+    if (!needs_socket(config)) return transport_ != nullptr;
     return !transport_ || transport_->endpoint() != *config.peer_listen;
 }
 
 std::shared_ptr<GossipTransport> PeerLink::open(const Config& config) const {
-    if (!wants_socket(config)) return nullptr;
+    if (!needs_socket(config)) return nullptr;
     auto transport = std::make_shared<GossipTransport>(io_, *config.peer_listen, on_received_);
     transport->set_peers(config.peers, config.peers_all);
     return transport;
--- a/src/process/peer_link.hpp
+++ b/src/process/peer_link.hpp
@@ -1,4 +1,5 @@
-// The socket for datagrams between sidecars, which a change of the configuration may open, replace or close.
+// Owns the socket for datagrams between sidecars. Configuration changes may open, replace or close the
+// socket.
 #pragma once
 
 #include <functional>
@@ -12,22 +13,22 @@
 
 class PeerLink {
 public:
-    /// `on_received` must be callable as long as the link lives.
+    /// `on_received` must be callable until the PeerLink is destroyed.
     PeerLink(asio::io_context& io, GossipTransport::OnReceived on_received);
     ~PeerLink();
     PeerLink(const PeerLink&) = delete;
     PeerLink& operator=(const PeerLink&) = delete;
 
-    /// Whether the configuration needs another socket than the one in use.
-    bool differs(const Config& config) const;
-    /// A socket for the configuration, not in use yet; null if it wants none. Throws system_error.
+    /// Whether the configuration needs a different socket, a first socket, or no socket any more.
+    bool needs_replacement(const Config& config) const;
+    /// Opens a socket for the configuration without using it; null if none is needed. Throws system_error.
     std::shared_ptr<GossipTransport> open(const Config& config) const;
-    /// Replaces the socket in use, which is stopped. Null: none is in use.
+    /// Stops the current socket and uses `transport` in its place. Null: no socket is used.
     void replace(std::shared_ptr<GossipTransport> transport);
-    /// The addresses of the peers change, the socket does not.
+    /// Changes the addresses of the peers without replacing the socket.
     void set_peers(const Config& config);
 
-    /// Null: the sidecar may not gossip.
+    /// Null if no socket is in use.
     GossipTransport* transport() const { return transport_.get(); }
 
 private:
--- a/src/process/replication_link.cpp
+++ b/src/process/replication_link.cpp
@@ -14,8 +14,8 @@
 
 void ReplicationLink::configure(const Config& config) {
     if (driver_ && driver_->matches(config)) return;
-    // The index in the fleet may be another from here on: what was published under the old one is forgotten
-    // with the end of its incarnation.
+    // The sidecar's index in the fleet may change here. The other members drop the state published under the
+    // old index when its incarnation ends.
     leave();
     driver_.reset();
     if (!config.joins_replication() || !parts_.peers.transport()) return;
@@ -24,7 +24,7 @@
     publish_versions();
 }
 
-// The driver is owned here and calls them only while it lives.
+// The handlers may use `this`: the driver is owned by this object and calls them only during its lifetime.
 ReplicationDriver::Handlers ReplicationLink::handlers() {
     return {[this](std::optional<std::uint32_t> to, const std::vector<std::uint8_t>& bytes) {
                 if (GossipTransport* transport = parts_.peers.transport()) transport->send(to, bytes);
@@ -60,7 +60,7 @@
     if (!driver_) return;
     const replication::Versions versions = current_versions();
     if (versions != published_) {
-        // The lab checks agreement by the times of these lines.
+        // The lab measures the agreement of the fleet by the times of these log lines.
         std::array<char, 96> line{};
         std::snprintf(line.data(), line.size(), "acts on settings %u.%08x list %u.%u", versions.epoch,
                       versions.hash, versions.list_incarnation, versions.list_seq);
--- a/src/process/replication_link.hpp
+++ b/src/process/replication_link.hpp
@@ -1,5 +1,6 @@
-// The sidecar's part in the replicated state of the fleet (docs/REPLICATION.md), wired to its other parts:
-// evidence goes to and from the balancer, versions to the other members, newer ones of theirs are fetched.
+// Connects the replicated state of the fleet (docs/REPLICATION.md) to the other components of the sidecar:
+// passes evidence between the balancer and the replication, publishes the sidecar's versions to the other
+// members, and fetches newer versions that other members act on.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +19,7 @@
 
 class ReplicationLink {
 public:
-    /// The parts that it connects; all must outlive it.
+    /// The connected components; all must outlive the ReplicationLink.
     struct Parts {
         asio::io_context& io;
         const Clock& clock;
@@ -26,24 +27,25 @@
         DiscoveryClient& discovery;
         PeerLink& peers;
     };
-    /// `reload`: reads the configuration file, since other members act on newer settings.
+    /// `reload` reads the configuration file; called when other members act on newer settings.
     ReplicationLink(Parts parts, std::function<void()> reload);
 
-    /// Joins, leaves or joins anew, as the configuration asks.
+    /// Joins the replication, leaves it, or rejoins with changed parameters, as the configuration requires.
     void configure(const Config& config);
-    /// A planned end: tells the others.
+    /// Announces the end of this member to the other members; called at a graceful shutdown.
     void leave();
 
     void receive(std::uint32_t from, const std::vector<std::uint8_t>& bytes);
     void publish(replication::EndpointKey endpoint, const replication::Evidence& evidence);
-    /// Tells the other members and the log which versions this sidecar acts on.
+    /// Publishes the versions that this sidecar acts on to the other members, and logs them if they changed.
     void publish_versions();
-    /// Tells the other members which endpoints of the list drain or are gone.
+    /// Reports the draining and removed endpoints of the list to the other members.
     void publish_withdrawn(const EndpointList& list);
-    /// The epoch needs no decision any more, though this sidecar may not act on it. False: it was known.
+    /// Records that this sidecar has handled the epoch, even if it does not act on it because of the rollout
+    /// share. Returns false if the epoch had already been recorded.
     bool settle_epoch(std::uint32_t epoch);
 
-    /// Null: it takes no part.
+    /// Null if the sidecar does not take part in replication.
     const ReplicationDriver* driver() const { return driver_.get(); }
 
 private:
--- a/src/process/resource_limits.cpp
+++ b/src/process/resource_limits.cpp
@@ -8,18 +8,20 @@
 
 namespace {
 
-// Descriptors for everything but connections: the log, the loop, the listener, discovery, peers, a reserve.
+// Descriptors that are not for connections: log, event loop, listener, discovery, peers and a reserve.
 constexpr std::size_t kReservedDescriptors = 32;
 constexpr std::size_t kMinConnections = 16;
-// Of the connections, more for clients than for upstreams: clients also keep idle and silent ones open.
+// Share of the connections that clients get. Clients get more than upstreams, because clients also keep idle
+// and silent connections open.
 constexpr double kClientShare = 0.62;
-// The divisor of the memory for request bodies. Each may exist up to three times: read, kept for a retry, and
-// being sent.
+// Request bodies may use this fraction (1/n) of the memory. Up to three copies of a body exist at a time: the
+// received body, the copy for a retry and the copy that is being sent.
 constexpr std::size_t kBodyMemoryDivisor = 12;
 constexpr int kBytesPerMegabyteShift = 20;
-// Bytes that an upstream sends behind its answer, a second answer above all, follow it within milliseconds
-// and would be taken for the next request's answer. A connection that rests this long before its next use
-// has shown them. Costs each pool only the connections that are needed within this time.
+// Minimum idle time of an upstream connection before it is reused. Bytes that an upstream sends after the end
+// of its response, such as a second response, arrive within milliseconds and would be read as the response to
+// the next request; during this time they are detected. Each pool only needs additional connections for the
+// requests that arrive within this time.
 constexpr Millis kQuietPeriod = 25;
 
 std::size_t max_connections(const Config& config) {
@@ -43,7 +45,7 @@
 
 Listener::Limits listener_limits(const Config& config) {
     const std::size_t body_bytes = (config.memory_mb << kBytesPerMegabyteShift) / kBodyMemoryDivisor;
-    // The listener accepts one connection beyond its limit.
+    // One less, because the listener accepts one connection beyond its limit.
     return {max_client_connections(config) - 1, std::max<std::size_t>(kMaxBody, body_bytes)};
 }
 
--- a/src/process/resource_limits.hpp
+++ b/src/process/resource_limits.hpp
@@ -1,5 +1,5 @@
-// How the descriptors and the memory that the configuration grants are divided between clients and upstreams
-// (docs/LIMITS.md).
+// Divides the descriptors and the memory that the configuration grants between client connections and
+// upstream connections (docs/LIMITS.md).
 #pragma once
 
 #include "control/config.hpp"
@@ -11,8 +11,8 @@
 UpstreamPool::Limits upstream_limits(const Config& config);
 Listener::Limits listener_limits(const Config& config);
 
-/// Throws ConfigError if the candidate asks for more descriptors than the system allows. Not applied to the
-/// configuration at the start: its limits are lowered to what there is.
+/// Throws ConfigError if the candidate raises limits.sockets above RLIMIT_NOFILE. Not called for the
+/// configuration at the start of the process, whose limits are lowered to RLIMIT_NOFILE.
 void check_descriptors(const Config& candidate, const Config& running);
 
 }  // namespace ochregrade::sidecar
--- a/src/process/state_persistence.hpp
+++ b/src/process/state_persistence.hpp
@@ -1,5 +1,5 @@
-// When state is written to the state store: the configuration with each change of it, the endpoints once a
-// second if there is something new, and the confirmation that this run was no part of a crash loop.
+// Decides when state is written to the state store: the configuration after each change, the endpoints once a
+// second if they changed, and once per run the confirmation that the run is not part of a crash loop.
 #pragma once
 
 #include <memory>
@@ -15,17 +15,17 @@
 
 class StatePersistence {
 public:
-    /// `store` null: nothing is persisted. The other parts must outlive it.
+    /// `store` null: nothing is persisted. The referenced objects must outlive the StatePersistence.
     StatePersistence(asio::io_context& io, const Clock& clock, std::unique_ptr<StateStore> store,
                      const BalancerDriver& driver, const DiscoveryClient& discovery);
 
-    /// `stable_uptime`: after so long the run is confirmed.
+    /// Starts the timer. `stable_uptime`: uptime in ms after which the run is confirmed as stable.
     void start(Millis stable_uptime);
     void persist_config(const ConfigVersions& versions, const std::string& file_document);
-    /// A planned end.
+    /// Writes the endpoints and confirms the run; called at the end of a graceful shutdown.
     void finish();
 
-    /// Null: no folder is configured.
+    /// Null if no state folder is configured.
     StateStore* store() const { return store_.get(); }
 
 private:
