--- a/tests/control/config_candidate_test.cpp
+++ b/tests/control/config_candidate_test.cpp
@@ -1,4 +1,5 @@
-// Reading configurations: errors with their paths, and candidates while another configuration is in force.
+// Tests that configuration errors contain the path of the field, and that candidates are validated against
+// the configuration in force.
 #include "control/config_fixture.hpp"
 
 namespace ochregrade::sidecar {
@@ -39,7 +40,8 @@
     EXPECT_EQ(read_candidate(next, running, true).seed, running.seed);
     for (const char* field : {"name", "listen", "seed", "known"}) next.erase(field);
     next["ochregrade"].erase("admin");
-    EXPECT_EQ(read_candidate(next, running, true).document, running.document) << "left out: as it was";
+    EXPECT_EQ(read_candidate(next, running, true).document, running.document)
+        << "omitted fields keep their values";
     next["name"] = "n1";
     next["listen"] = "127.0.0.1:9";
     next["ochregrade"]["admin"]["listen"] = "127.0.0.1:9";
@@ -68,7 +70,8 @@
                                         "settings.rules is not an object"}));
 }
 
-// The platform's file has fields that no page names, and one of them was called admin.
+// The platform's file has undocumented top-level fields, such as admin. They must not be read as fields of
+// the section ochregrade that have the same name.
 TEST(Candidate, FieldsOfThePlatformsOwnAreLeftAlone) {
     json config = everything();
     config["admin"] = "127.0.0.1:80";
@@ -77,7 +80,7 @@
     EXPECT_FALSE(read_config(config).operator_endpoint);
 }
 
-// Whatever stands in a file, reading it ends with a configuration or with complaints.
+// A damaged file results in either a configuration or validation errors, never in another exception.
 TEST(Candidate, RandomDamageEndsInErrorsWithPaths) {
     const Config running = read_config(everything());
     const std::string good = everything().dump();
@@ -107,7 +110,8 @@
         }
     }
     EXPECT_GT(refused, 2000);
-    EXPECT_THROW(parse_config(std::string(100000, '['), "the file"), ConfigError) << "no deep recursion";
+    EXPECT_THROW(parse_config(std::string(100000, '['), "the file"), ConfigError)
+        << "the parser must not recurse this deep";
 }
 
 }  // namespace
--- a/tests/control/config_error_test.cpp
+++ b/tests/control/config_error_test.cpp
@@ -1,4 +1,4 @@
-// Errors of a configuration name the field.
+// Tests that the text of a ConfigError contains the path of the invalid field.
 #include "control/config.hpp"
 #include "support/stepped_sidecar.hpp"
 
--- a/tests/control/config_file_test.cpp
+++ b/tests/control/config_file_test.cpp
@@ -1,4 +1,5 @@
-// The configuration file, the variables that override it, and its section's former name.
+// Tests of the configuration file: reading during a replacement, overriding environment variables, and the
+// former name of the program's own section.
 #include <atomic>
 #include <thread>
 
@@ -7,7 +8,7 @@
 namespace ochregrade::sidecar {
 namespace {
 
-// What a version before 0.2 called the program's own section.
+// The configuration with the program's own section under the name that it had before version 0.2.
 json under_former_name(json config) {
     config[kFormerSection] = config[kOwnSection];
     config.erase(kOwnSection);
@@ -59,7 +60,7 @@
     EXPECT_EQ(read_candidate(reload_document(), running, false).discovery_address.port(), 1);
     config["name"] = "n10";
     file.write(config.dump());
-    EXPECT_EQ(read_candidate(reload_document(), running, false).name, "n9") << "the variable still says so";
+    EXPECT_EQ(read_candidate(reload_document(), running, false).name, "n9") << "NODE_NAME still overrides it";
     ::unsetenv("NODE_NAME");
     ::unsetenv("NODE_DISCOVERY");
     EXPECT_EQ(errors_of([&] { read_candidate(reload_document(), running, false); }),
--- a/tests/control/config_fixture.hpp
+++ b/tests/control/config_fixture.hpp
@@ -1,4 +1,4 @@
-// Configurations for tests that read them.
+// Fixtures of the tests that parse configurations: a full configuration and a collector of errors.
 #pragma once
 
 #include <functional>
@@ -9,7 +9,7 @@
 
 namespace ochregrade::sidecar {
 
-// One with most of the fields.
+// A valid configuration that contains most of the fields.
 inline json everything() {
     json config = a_config("127.0.0.1:1", {host("s1", "127.0.0.1:2")});
     config["limits"] = {{"sockets", 512}, {"memory_mb", 64}, {"cores", 0.5}};
@@ -25,7 +25,7 @@
     return config;
 }
 
-// Each as "field what"; none if `read` throws nothing.
+// The validation errors that `read` throws, each as "<field> <what>"; empty if `read` does not throw.
 inline std::vector<std::string> errors_of(const std::function<void()>& read) {
     std::vector<std::string> all;
     try {
--- a/tests/control/config_schema_test.cpp
+++ b/tests/control/config_schema_test.cpp
@@ -1,4 +1,4 @@
-// The table of the configuration's fields.
+// Tests of the table of configuration fields.
 #include "control/config_schema.hpp"
 
 #include <fstream>
@@ -14,7 +14,7 @@
     std::stringstream text;
     text << file.rdbuf();
     EXPECT_NE(text.str().find(fields_as_markdown()), std::string::npos)
-        << "put what ochregrade --fields prints into docs/CONFIGURATION.md";
+        << "copy the output of ochregrade --fields into docs/CONFIGURATION.md";
 }
 
 TEST(Fields, UnknownOnesAreNamedByTheirPath) {
@@ -27,7 +27,7 @@
               (std::vector<std::string>{"limits.socket", "setings", "settings.classes[1].effects"}));
     config["known"]["hosts"][0]["whatever"] = 1;
     config["admin"] = "the platform's own";
-    EXPECT_EQ(unknown_fields(config).size(), 4u) << "what lies below known is discovery's";
+    EXPECT_EQ(unknown_fields(config).size(), 4u) << "fields below known belong to discovery";
 }
 
 TEST(Fields, AVersionLeavesOutStartOnlyFields) {
--- a/tests/control/config_test.cpp
+++ b/tests/control/config_test.cpp
@@ -1,4 +1,4 @@
-// The typed configuration.
+// Tests of the typed configuration.
 #include "control/config.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/control/config_versions_test.cpp
+++ b/tests/control/config_versions_test.cpp
@@ -1,4 +1,4 @@
-// Versions of the configuration and their canaries, on a clock that the test moves.
+// Tests of the configuration versions and their canaries. The tests pass the times themselves.
 #include "control/config_versions.hpp"
 
 #include <gtest/gtest.h>
@@ -36,7 +36,7 @@
     EXPECT_EQ(fixture.state(next), State::canary);
     fixture.answers(88, 12);
     EXPECT_FALSE(fixture.versions.due(fixture.now + 4999));
-    EXPECT_EQ(fixture.state(next), State::canary) << "not before its time is over";
+    EXPECT_EQ(fixture.state(next), State::canary) << "the canary lasts for its whole duration";
     EXPECT_FALSE(fixture.versions.due(fixture.now + 5000));
     EXPECT_EQ(fixture.state(next), State::good);
 }
@@ -46,12 +46,12 @@
     fixture.answers(100, 0);
     const auto next = fixture.commit(Source::operators, 0, kCanaryRule);
     fixture.answers(0, 19);
-    EXPECT_FALSE(fixture.versions.due(fixture.now)) << "too few to say";
+    EXPECT_FALSE(fixture.versions.due(fixture.now)) << "fewer responses than min_samples";
     fixture.answers(0, 1);
     const auto rollback = fixture.versions.due(fixture.now);
     ASSERT_TRUE(rollback);
     EXPECT_EQ(rollback->target->number(), 1u);
-    EXPECT_TRUE(fixture.versions.due(fixture.now)) << "it says so until it is carried out";
+    EXPECT_TRUE(fixture.versions.due(fixture.now)) << "returned until the rollback is committed";
     const auto third = fixture.commit(Source::canary, rollback->target->content_version);
     EXPECT_EQ(fixture.state(next), State::rolled_back);
     EXPECT_EQ(fixture.state(third), State::good);
@@ -63,7 +63,7 @@
     VersionsFixture fixture;
     fixture.answers(100, 0);
     const auto next = fixture.commit(Source::operators, 0, kCanaryRule);
-    fixture.answers(0, 200, 1);  // those that began before it
+    fixture.answers(0, 200, 1);  // requests that started before the canary
     fixture.answers(40, 0, next);
     EXPECT_FALSE(fixture.versions.due(fixture.now + 6000));
     EXPECT_EQ(fixture.state(next), State::good);
@@ -74,8 +74,9 @@
     fixture.answers(100, 0);
     fixture.commit(Source::file, 0, kCanaryRule);
     fixture.answers(19, 0);
-    EXPECT_FALSE(fixture.versions.due(fixture.now + 19999)) << "it waits for answers";
-    EXPECT_TRUE(fixture.versions.due(fixture.now + 20000)) << "but not for ever";
+    EXPECT_FALSE(fixture.versions.due(fixture.now + 19999))
+        << "the canary is extended while samples are missing";
+    EXPECT_TRUE(fixture.versions.due(fixture.now + 20000)) << "the extension is limited";
 }
 
 TEST(Canary, WithoutAnswersBeforeItIsHeldToAll) {
@@ -111,7 +112,7 @@
     ASSERT_EQ(fixture.versions.previous()->number(), 1u);
     fixture.commit(Source::rollback, 1, kCanaryRule);
     EXPECT_EQ(fixture.state(second), State::withdrawn);
-    EXPECT_FALSE(fixture.versions.canary()) << "what was good once needs no second trial";
+    EXPECT_FALSE(fixture.versions.canary()) << "the target was already found good";
 }
 
 TEST(Rollback, TwiceGoesTwoBackAndNoFurtherThanThereIs) {
@@ -119,7 +120,7 @@
     fixture.commit(Source::operators);
     fixture.commit(Source::operators);
     ASSERT_EQ(fixture.versions.previous()->number(), 2u);
-    fixture.commit(Source::rollback, 2);  // the fourth, which says what the second did
+    fixture.commit(Source::rollback, 2);  // version 4, with the content of version 2
     ASSERT_EQ(fixture.versions.previous()->number(), 1u);
     fixture.commit(Source::rollback, 1);
     EXPECT_EQ(fixture.versions.previous(), nullptr);
@@ -139,7 +140,7 @@
     VersionsFixture fixture;
     for (int i = 0; i < 20; ++i) fixture.commit(Source::operators, 0, kCanaryRule);
     EXPECT_EQ(fixture.versions.retained().size(), ConfigVersions::kMaxRetained);
-    ASSERT_NE(fixture.versions.find(1), nullptr) << "none after it was ever found good";
+    ASSERT_NE(fixture.versions.find(1), nullptr) << "no later version was found good";
     EXPECT_EQ(fixture.versions.canary()->fallback, 1u);
     EXPECT_EQ(fixture.versions.find(5), nullptr);
 }
--- a/tests/control/operator_endpoint_test.cpp
+++ b/tests/control/operator_endpoint_test.cpp
@@ -1,4 +1,4 @@
-// The operators' endpoint: what it answers to calls, also to bad ones.
+// Tests of the operators' endpoint: responses to valid and invalid requests, and the metrics.
 #include "process/node_fixture.hpp"
 
 namespace ochregrade::sidecar {
@@ -23,7 +23,8 @@
     EXPECT_EQ(status("POST", "/metrics"), 405u);
     EXPECT_EQ(status("POST", "/v1/config", "{"), 400u);
     EXPECT_EQ(status("POST", "/v1/config", "[]"), 422u);
-    EXPECT_EQ(status("POST", "/v1/config?dryrun=1", config.dump()), 400u) << "no change by a slip";
+    EXPECT_EQ(status("POST", "/v1/config?dryrun=1", config.dump()), 400u)
+        << "a mistyped parameter must not apply the change";
     EXPECT_EQ(status("POST", "/v1/config?dry_run=yes", config.dump()), 400u);
     EXPECT_EQ(status("POST", "/v1/config?dry_run=1&dry_run=0", config.dump()), 400u);
     EXPECT_EQ(status("POST", "/v1/config?expected_generation=-1", config.dump()), 400u);
@@ -67,7 +68,8 @@
     EXPECT_EQ(ops.post("/v1/config", config).at("result"), "applied");
 }
 
-// The Prometheus text format: a HELP and a TYPE before each family, then name{labels} and a number.
+// In the Prometheus text format each family starts with a HELP and a TYPE line; samples are name{labels}
+// value.
 TEST(OperatorEndpoint, MetricsAreInThePrometheusTextFormat) {
     FakeServer server;
     Running sidecar(with_admin(a_config(kNowhere, {host("s1", server.at())})));
--- a/tests/process/canary_watch_test.cpp
+++ b/tests/process/canary_watch_test.cpp
@@ -1,4 +1,4 @@
-// The canary of a new configuration under real requests.
+// Tests of configuration canaries with real requests.
 #include "process/node_fixture.hpp"
 
 namespace ochregrade::sidecar {
@@ -13,7 +13,7 @@
     const json said =
         ops.post("/v1/config?bake_ms=60000&margin=0.1&min_samples=10", without_class(config, "listen"));
     EXPECT_EQ(said.at("trial").at("falls_back_to"), 1);
-    // What neither knows is no evidence against the new one.
+    // A request class that is unknown under both versions is no evidence against the canary.
     for (int i = 0; i < 20; ++i) EXPECT_EQ(ask(sidecar.at, "nothing"), 400u);
     EXPECT_EQ(ops.get("/v1/config").at("state"), "on trial");
     EXPECT_TRUE(until([&] { return ask(sidecar.at, "listen") == 200u; }));
@@ -37,7 +37,7 @@
     file.replace(config.dump());
     sidecar.reload();
     ASSERT_TRUE(until([&] { return ops.get("/v1/config").at("generation") == 2; }));
-    EXPECT_EQ(ops.get("/v1/config").at("state"), "on trial") << "the file's own rule";
+    EXPECT_EQ(ops.get("/v1/config").at("state"), "on trial") << "the file contains a canary rule";
     EXPECT_TRUE(until([&] {
         EXPECT_EQ(ask(sidecar.at, "listen"), 200u);
         return ops.get("/v1/config").at("state") == "good";
--- a/tests/process/config_manager_test.cpp
+++ b/tests/process/config_manager_test.cpp
@@ -1,11 +1,11 @@
-// Changes of the configuration of a running sidecar, through the operators' endpoint: candidates, rollbacks
-// and epochs.
+// Tests of configuration changes of a running sidecar through the operators' endpoint and the file: invalid
+// candidates, rollbacks and epochs.
 #include "process/node_fixture.hpp"
 
 namespace ochregrade::sidecar {
 namespace {
 
-// What can be seen of a sidecar from outside, and a rejected candidate must leave as it is.
+// The state of a sidecar that is visible from outside. A rejected candidate must not change it.
 std::string visible_state(Running& sidecar, Operator& ops) {
     std::string all = ops.get("/v1/config").dump() + ops.get("/v1/config/history").dump();
     for (const char* request_class : {"listen", "deposit", "annotate", "nothing"})
@@ -17,7 +17,7 @@
     return all + " " + limits;
 }
 
-// The configuration with one value replaced, and with other changes that would show if it were applied.
+// The configuration with one value replaced, and with other changes that would be visible if it were applied.
 json damaged(const json& config, const char* pointer, const json& value) {
     json candidate = config;
     candidate["settings"]["classes"].erase(0);
@@ -27,7 +27,7 @@
 }
 
 struct InvalidCandidate {
-    std::string field;  // that the error names
+    std::string field;  // path that the error must contain
     json config;
 };
 
@@ -96,7 +96,7 @@
     unknown["settings"]["clases"] = 1;
     EXPECT_EQ(operators.post("/v1/config", unknown, 422).at("complaints").at(0).at("field"),
               "settings.clases");
-    EXPECT_EQ(discovery.wait_for(1).size(), 1u) << "the watch has not been touched";
+    EXPECT_EQ(discovery.wait_for(1).size(), 1u) << "the watch must not be restarted";
 }
 
 TEST(Rollback, RestoresBehaviourAndNotOnlyText) {
@@ -115,10 +115,11 @@
     EXPECT_EQ(ops.post("/v1/config/rollback?expected_generation=1", nullptr, 409).at("generation"), 2);
     EXPECT_EQ(ops.post("/v1/config/rollback").at("generation"), 3);
     EXPECT_EQ(ask(sidecar.at, "listen"), 200u);
-    old.wait_for(2);  // and its discovery is asked again
+    old.wait_for(2);  // discovery at the previous address is called again
     EXPECT_EQ(ops.get("/v1/config").at("config"), first);
     EXPECT_EQ(ops.get("/v1/config").at("content_of"), 1);
-    EXPECT_EQ(ops.post("/v1/config/rollback", nullptr, 409).at("result"), "conflict") << "nothing older";
+    EXPECT_EQ(ops.post("/v1/config/rollback", nullptr, 409).at("result"), "conflict")
+        << "there is no older version";
     EXPECT_EQ(ops.post("/v1/config/rollback?to=2").at("generation"), 4);
     EXPECT_EQ(ask(sidecar.at, "listen"), 400u);
     EXPECT_EQ(ops.post("/v1/config/rollback?to=99", nullptr, 404).at("result"), "missing");
@@ -137,16 +138,16 @@
         return said.dump().find("ochregrade.epoch") != std::string::npos;
     };
     json next = without_class(config, "listen");
-    EXPECT_TRUE(rejected(next)) << "the epoch in force says something else";
+    EXPECT_TRUE(rejected(next)) << "the epoch in force has other settings";
     next["ochregrade"]["epoch"] = 2;
-    EXPECT_TRUE(rejected(next)) << "back";
+    EXPECT_TRUE(rejected(next)) << "the epoch must not decrease";
     next["ochregrade"].erase("epoch");
-    EXPECT_TRUE(rejected(next)) << "away";
+    EXPECT_TRUE(rejected(next)) << "the epoch must not be removed";
     EXPECT_EQ(ask(sidecar.at, "listen"), 200u);
     next["ochregrade"]["epoch"] = 4;
     EXPECT_EQ(ops.post("/v1/config", next).at("result"), "applied");
     EXPECT_EQ(ask(sidecar.at, "listen"), 400u);
-    // A rollback is an epoch of its own: 5 is taken, what follows needs a newer one.
+    // A rollback uses a new epoch, here 5. The next change therefore needs a newer epoch than 5.
     EXPECT_EQ(ops.post("/v1/config/rollback").at("result"), "applied");
     EXPECT_EQ(ask(sidecar.at, "listen"), 200u);
     EXPECT_EQ(sidecar.in_loop([&] { return sidecar.node().driver().snapshot()->epoch; }), 5u);
--- a/tests/process/config_reloader_test.cpp
+++ b/tests/process/config_reloader_test.cpp
@@ -1,4 +1,4 @@
-// Reloading the configuration file, as on SIGHUP.
+// Tests of reloading the configuration file, as after SIGHUP.
 #include "process/node_fixture.hpp"
 
 namespace ochregrade::sidecar {
@@ -23,13 +23,14 @@
     EXPECT_EQ(ask(sidecar.at, "listen"), 400u);
     const json changes = ops.get("/v1/status").at("changes");
     EXPECT_EQ(changes.at("applied"), 1) << changes;
-    EXPECT_EQ(changes.at("unchanged"), 0) << "they were one";
+    EXPECT_EQ(changes.at("unchanged"), 0) << "repeated signals cause one reload";
     sidecar.reload();
     ASSERT_TRUE(until([&] { return ops.get("/v1/status").at("changes").at("unchanged") == 1; }));
-    EXPECT_EQ(ops.get("/v1/config").at("generation"), 2) << "the same again is no new generation";
+    EXPECT_EQ(ops.get("/v1/config").at("generation"), 2) << "the same content is no new generation";
 }
 
-// The signal comes while the file is half written; nobody says anything when it is whole.
+// The signal arrives while the file is partly written, and no second signal follows when the file is
+// complete.
 TEST(Reload, AFileThatIsBeingWrittenIsReadAgain) {
     json config = with_admin(a_config(kNowhere, {host("s1", kNowhere)}));
     ConfigFile file(config.dump());
--- a/tests/process/config_resources_test.cpp
+++ b/tests/process/config_resources_test.cpp
@@ -1,4 +1,4 @@
-// Changes of the configuration that need or take away descriptors, sockets or time.
+// Tests of configuration changes that affect descriptors, sockets or deadlines.
 #include <sys/resource.h>
 
 #include "process/node_fixture.hpp"
@@ -25,14 +25,14 @@
     const rlim_t was = limit.rlim_cur;
     const int top = ::dup(0);
     ::close(top);
-    limit.rlim_cur = static_cast<rlim_t>(top);  // the next one would be it
+    limit.rlim_cur = static_cast<rlim_t>(top);  // the next descriptor would reach the limit
     ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &limit), 0);
     const json said = ops.post("/v1/config", next, 422);
     limit.rlim_cur = was;
     setrlimit(RLIMIT_NOFILE, &limit);
     EXPECT_EQ(said.at("complaints").at(0).at("field"), "peer_listen") << said;
     EXPECT_EQ(ops.get("/v1/config"), before);
-    EXPECT_EQ(ops.post("/v1/config", next).at("generation"), 2) << "with one free it is taken";
+    EXPECT_EQ(ops.post("/v1/config", next).at("generation"), 2) << "applied once a descriptor is free";
 }
 
 TEST(ConfigChange, ALimitLoweredBelowWhatIsInUseCutsNoRequest) {
@@ -53,12 +53,13 @@
     ASSERT_TRUE(server.wait_for(60));
     config["limits"]["sockets"] = 64;  // 19 for clients, 13 for servers
     ops.post("/v1/config", config);
-    EXPECT_EQ(sidecar.usage().connections, 60u) << "what is out stays out";
+    EXPECT_EQ(sidecar.usage().connections, 60u) << "requests in flight must not be cut";
     const auto start = steady_clock::now();
     go.set_value();
     for (auto& app : apps) EXPECT_EQ(app->answer().result_int(), 200u);
     EXPECT_TRUE(until([&] { return sidecar.usage().connections <= 13; }));
-    EXPECT_LT(std::chrono::duration<double>(steady_clock::now() - start).count(), 10) << "not by idling";
+    EXPECT_LT(std::chrono::duration<double>(steady_clock::now() - start).count(), 10)
+        << "connections must not stay open until the idle timeout";
     EXPECT_TRUE(until([&] { return ops.get("/v1/status").at("connections").at("clients") <= 20; }));
     apps.clear();
     EXPECT_EQ(ask(sidecar.at, "listen"), 200u);
@@ -86,23 +87,24 @@
     EXPECT_EQ(ops.post("/v1/config", next).at("generation"), 2);
     const bool early = std::chrono::duration<double>(steady_clock::now() - start).count() < 0.3;
     std::unique_ptr<App> late;
-    if (early) {  // else, on a stalled machine, the time for new ones is over
+    if (early) {  // on a stalled machine new connections are no longer accepted
         late = std::make_unique<App>(sidecar.at);
         late->wire.write(App::request("deposit"));
     }
     EXPECT_EQ(held.answer().result_int(), 502u) << "at its own deadline";
     held.wire.socket.close();
     if (early) {
-        EXPECT_EQ(late->answer().result_int(), 502u) << "not lost at the drain's end";
+        EXPECT_EQ(late->answer().result_int(), 502u)
+            << "the late request must get a response before the drain ends";
         late->wire.socket.close();
     }
     ASSERT_EQ(done.get_future().wait_for(kPatience), std::future_status::ready);
     const double took = std::chrono::duration<double>(steady_clock::now() - start).count();
-    EXPECT_LT(took, 15) << "not the new one's minute";
+    EXPECT_LT(took, 15) << "the deadline of 60 s of the new configuration must not apply";
     go.set_value();
 }
 
-// What peers are told goes by the numbers of the generation in force, and their sender by its addresses.
+// Gossip must use the peer indices and the addresses of the configuration in force.
 TEST(ConfigChange, MayRenumberAndMovePeers) {
     asio::io_context io(1);
     const udp::endpoint any(asio::ip::make_address("127.0.0.1"), 0);
@@ -133,7 +135,7 @@
     tell(0);
     udp::endpoint from;
     EXPECT_EQ(b.receive_from(asio::buffer(bytes), from), 3u);
-    EXPECT_EQ(text_of(from), own[1]) << "from the new address";
+    EXPECT_EQ(text_of(from), own[1]) << "sent from the new address";
     config["settings"]["limits"]["may-tell"] = false;
     ops.post("/v1/config", config);
     EXPECT_TRUE(sidecar.in_loop([&] { return sidecar.node().peers() == nullptr; }));
--- a/tests/process/config_under_load_test.cpp
+++ b/tests/process/config_under_load_test.cpp
@@ -1,4 +1,4 @@
-// Requests while the configuration changes all the time.
+// Tests requests while the configuration changes continuously.
 #include <atomic>
 #include <map>
 
@@ -7,7 +7,7 @@
 namespace ochregrade::sidecar {
 namespace {
 
-// A server that counts how often each request arrives, and fails those that must not run twice.
+// A server that counts how often each request arrives, and fails the requests that are not idempotent.
 class CountingServer {
 public:
     std::string at() const { return server_.at(); }
@@ -56,7 +56,7 @@
             check(app.answer(), request_class);
         }
     }
-    // The configuration may change in between.
+    // The configuration may change between the two parts.
     static void send_in_two_parts(App& app, const std::string& request_class, bool pause) {
         const std::string body = request_class == "listen" ? "" : "body";
         const std::string text = App::request(request_class, "25000m", body);
@@ -75,7 +75,7 @@
     std::vector<std::thread> threads_;
 };
 
-// Disagrees with the other configuration on the index of every class, and on zones and attempts.
+// A configuration that differs from `config` in the index of every class, the zones and the attempts.
 json reversed(json config) {
     json& classes = config["settings"]["classes"];
     std::reverse(classes.begin(), classes.end());
@@ -86,8 +86,8 @@
     return config;
 }
 
-// By the wrong configuration, what must not run twice would be retried, and a valid request be rejected. Each
-// request is answered once and judged by one of the two.
+// If a request were handled under a mixture of two configurations, a request that is not idempotent could be
+// retried, or a valid request rejected. Each request must get one response, under one configuration.
 TEST(UnderLoad, NoRequestIsLostOrAnsweredTwiceOrJudgedByAMixture) {
     CountingServer server;
     const json one = with_admin(a_config(kNowhere, {host("s1", server.at())}));
--- a/tests/process/discovery_restart_test.cpp
+++ b/tests/process/discovery_restart_test.cpp
@@ -1,10 +1,10 @@
-// A discovery that restarts its sequence numbers.
+// Tests that a sidecar follows a discovery service that restarts its sequence numbers.
 #include "process/node_fixture.hpp"
 
 namespace ochregrade::sidecar {
 namespace {
 
-// One lower number may be a late answer; lower ones that last are another discovery's.
+// A single list with a lower number may be a late response. Only repeated lower numbers mean a restart.
 TEST(DiscoveryRestart, IsFollowedOnceItLasts) {
     FakeServer first, second;
     FakeDiscovery discovery;
--- a/tests/process/node_fixture.hpp
+++ b/tests/process/node_fixture.hpp
@@ -1,4 +1,4 @@
-// A whole sidecar with an operators' endpoint, for tests of what changes while it runs.
+// Fixtures for tests of a complete sidecar with an operators' endpoint whose configuration changes.
 #pragma once
 
 #include <chrono>
@@ -11,7 +11,7 @@
 
 using std::chrono::steady_clock;
 
-// An address where nobody listens.
+// An address on which no process listens.
 inline const std::string kNowhere = "127.0.0.1:1";
 
 inline json with_admin(json config) {
@@ -19,7 +19,7 @@
     return config;
 }
 
-// Whether `done` holds within kPatience.
+// Waits until `done` returns true; returns false after kPatience.
 template <class Done>
 bool until(Done done) {
     const auto end = steady_clock::now() + kPatience;
@@ -30,7 +30,7 @@
     return true;
 }
 
-// The status of one request of a class, on a connection of its own.
+// Sends one request of the class on a new connection and returns the status of the response.
 inline unsigned ask(const tcp::endpoint& at, const std::string& request_class) {
     App app(at);
     return app.ask(App::request(request_class)).result_int();
--- a/tests/process/recorded_http_test.cpp
+++ b/tests/process/recorded_http_test.cpp
@@ -1,6 +1,6 @@
-// The bytes on the sidecar's connections as recorded in tests/recorded/http: what it sends to a server, to a
-// client and to discovery. Only what differs from run to run is masked: the time that is left, in
-// microseconds, how long a watch may wait, and the advice of a refusal.
+// Compares the bytes that the sidecar sends to servers, clients and discovery with the bytes recorded in
+// tests/recorded/http. Only values that differ between runs are masked: the time left in microseconds
+// (X-Time-Left), the wait of a watch in milliseconds (wait_ms), and Retry-After in seconds.
 #include <algorithm>
 #include <charconv>
 #include <string_view>
@@ -30,7 +30,8 @@
            only_digits(value.substr(2));
 }
 
-// A value that differs from run to run, where it stands, and what it must look like to be masked.
+// A value that differs between runs: the text before and after the value, and the format it must have to be
+// masked.
 struct VaryingValue {
     std::string_view before;
     std::string_view after;
@@ -60,7 +61,7 @@
     recorded::expect_same("http/" + name + ".txt", masked(bytes));
 }
 
-// The length of the body that the head names; 0 if it names none.
+// The value of Content-Length in the head of a message; 0 if the field is missing.
 std::size_t content_length(std::string_view head) {
     constexpr std::string_view kField = "\r\nContent-Length: ";
     const auto at = head.find(kField);
@@ -70,8 +71,8 @@
     return length;
 }
 
-// One whole message as it came, by its length; less if the other side ends. Not more than one may be on its
-// way.
+// Reads the bytes of one complete message, whose end follows from Content-Length; fewer bytes if the peer
+// closes the connection. The peer must not send a second message before the first has been read.
 std::string read_bytes(Wire& wire) {
     std::string all;
     for (std::size_t whole = std::string::npos; all.size() < whole;) {
@@ -86,7 +87,7 @@
     return all;
 }
 
-// Takes each request as it comes and answers it with the same text; none: it never answers.
+// A server that sends the same response to each request; an empty text means no response at all.
 class ByteServer {
 public:
     explicit ByteServer(std::string answer)
@@ -121,7 +122,7 @@
     return all;
 }
 
-// The answer, and where it is the last one all that comes before the end.
+// Returns the response; if the response closes the connection, also all bytes after the response.
 std::string ask(const tcp::endpoint& at, const std::string& request) {
     App app(at);
     app.wire.write(request);
@@ -150,7 +151,7 @@
 
 struct Exchange {
     const char* name;
-    std::string request, answer;  // the client's, and the server's
+    std::string request, answer;  // the client's request and the server's response
 };
 std::ostream& operator<<(std::ostream& out, const Exchange& exchange) { return out << exchange.name; }
 
@@ -191,12 +192,12 @@
                  "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"}),
     [](const auto& info) { return std::string(info.param.name); });
 
-// ---- Answers of the sidecar's own -------------------------------------------------------------------------
+// ---- Responses of the sidecar itself ----------------------------------------------------------------------
 
 struct Misfit {
     const char* name;
     std::string request;
-    const char* status;  // of the answer
+    const char* status;  // of the response
 };
 std::ostream& operator<<(std::ostream& out, const Misfit& misfit) { return out << misfit.name; }
 
