--- a/bench/guarantee_rows.py
+++ b/bench/guarantee_rows.py
@@ -157,7 +157,7 @@
     ),
     Guarantee(
         "the start waits for missing resources",
-        [Edit(STARTUP, "is_shortage(error.code()) ||", "")],
+        [Edit(STARTUP, "is_resource_shortage(error.code()) ||", "")],
         PROGRAM_TESTS,
         "Startup.RetriesAfterShortResourceShortage",
     ),
@@ -171,7 +171,9 @@
         "server start times on the monotonic clock",
         [
             Edit(
-                PROXY_ENDPOINTS, "start_times_.start_of(listed.started_at, clock_.now())", "listed.started_at"
+                PROXY_ENDPOINTS,
+                "start_times_.to_process_clock(listed.started_at, clock_.now())",
+                "listed.started_at",
             )
         ],
         PROXY_TESTS,
@@ -259,7 +261,7 @@
         "slow connections are checked for bytes before they are evicted",
         [Edit(LISTENER, " && session->has_unread_bytes())", " && false)")],
         PROXY_TESTS,
-        "ConnectionEviction.SparesConnectionWithCompleteUnreadRequest",
+        "ConnectionEviction.DoesNotCloseConnectionWithCompleteUnreadRequest",
     ),
     Guarantee(
         "an idle connection has no unread bytes in the kernel",
@@ -283,7 +285,7 @@
         "a drain ends before the kill",
         [Edit(SHUTDOWN, "std::min(longest_deadline, kKillAfter)", "longest_deadline")],
         PROXY_TESTS,
-        "Drain.LateRequestWithLongDeadlineIsAnsweredBeforeSigkill",
+        "Drain.LateRequestWithLongDeadlineGetsResponseBeforeSigkill",
     ),
     Guarantee(
         "half requests are answered before a drain ends",
@@ -298,11 +300,11 @@
                 SHUTDOWN,
                 (
                     "    if (driver_.pending_requests() != 0) return false;\n"
-                    "    return (all_accepted && !listener_.busy()) || clock_.now() >= end_at_;"
+                    "    return (all_accepted && !listener_.has_connections()) || clock_.now() >= end_at_;"
                 ),
                 (
                     "    (void)all_accepted;\n"
-                    "    return (driver_.pending_requests() == 0 && !listener_.busy()) || clock_.now() >= end_at_;"
+                    "    return (driver_.pending_requests() == 0 && !listener_.has_connections()) || clock_.now() >= end_at_;"
                 ),
             )
         ],
@@ -459,8 +461,8 @@
         [
             Edit(
                 LISTENER,
-                "is_shortage(ec)) {\n            return false;",
-                "is_shortage(ec)) {\n            return true;",
+                "is_resource_shortage(ec)) {\n            return false;",
+                "is_resource_shortage(ec)) {\n            return true;",
             )
         ],
         PROXY_TESTS,
@@ -547,7 +549,7 @@
         "the connection of a finished attempt is closed",
         CLOSED_WHEN_OVER,
         PROXY_TESTS,
-        "UpstreamConnection.TimeoutIsAnsweredByDeadlineAndClosesConnection",
+        "UpstreamConnection.TimeoutGetsResponseByDeadlineAndClosesConnection",
     ),
     Guarantee(
         "a late response finds its connection closed and its request answered",
--- a/include/ochregrade/events.hpp
+++ b/include/ochregrade/events.hpp
@@ -14,7 +14,7 @@
 
 namespace ochregrade {
 
-enum class EndpointState { serving, draining, gone };
+enum class EndpointState { serving, draining, removed };
 
 struct Endpoint {
     EndpointId id = 0;
--- a/src/balancer/endpoint_table.cpp
+++ b/src/balancer/endpoint_table.cpp
@@ -22,7 +22,7 @@
     }
     record.info = info;
     if (!(record.info.capacity_weight > 0)) record.info.capacity_weight = 1;  // invalid: the default
-    record.listed = info.state != EndpointState::gone;
+    record.listed = info.state != EndpointState::removed;
 }
 
 void EndpointTable::rebuild_in_service() {
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -97,10 +97,10 @@
     const bool by_fleet = cause == EjectionCause::fleet_evidence;
     if (by_fleet) {
         const std::string reporters = std::to_string(endpoint.evidence.fleet().direct_reporters);
-        context_.append_action(
-            LogMessage{"removed from the pool on the word of " + reporters + " others", endpoint.info.id});
+        context_.append_action(LogMessage{
+            "ejected from the pool on the evidence of " + reporters + " other sidecars", endpoint.info.id});
     } else if (endpoint.ejection.is_available()) {
-        context_.append_action(LogMessage{"removed from the pool", endpoint.info.id});
+        context_.append_action(LogMessage{"ejected from the pool", endpoint.info.id});
     }
     endpoint.ejection.eject(context_.now + kEjectionBackoff, by_fleet);
 }
--- a/src/balancer/settings_validation.cpp
+++ b/src/balancer/settings_validation.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 void check(bool valid, const std::string& setting) {
-    if (!valid) throw std::invalid_argument("ochregrade: invalid setting: " + setting);
+    if (!valid) throw std::invalid_argument("ochregrade: setting makes no sense: " + setting);
 }
 void check_amount(double value, const std::string& name) { check(std::isfinite(value) && value >= 0, name); }
 
--- a/src/common/http.hpp
+++ b/src/common/http.hpp
@@ -59,7 +59,7 @@
 }
 
 /// What the kernel has for the reader of a socket: no bytes, unread bytes, or the end of the connection.
-enum class SocketState { quiet, readable, ended };
+enum class SocketState { no_data, readable, closed };
 /// Returns the socket's state without consuming bytes and without blocking.
 inline SocketState peek(tcp::socket& socket) {
     char byte = 0;
@@ -69,7 +69,7 @@
     if (received > 0) return SocketState::readable;
     const bool no_memory = errno == ENOBUFS || errno == ENOMEM;
     const bool no_bytes = errno == EAGAIN || errno == EWOULDBLOCK || no_memory;
-    return received < 0 && no_bytes ? SocketState::quiet : SocketState::ended;
+    return received < 0 && no_bytes ? SocketState::no_data : SocketState::closed;
 }
 
 }  // namespace ochregrade::sidecar
--- a/src/common/open_with_retry.hpp
+++ b/src/common/open_with_retry.hpp
@@ -17,7 +17,7 @@
 
 /// Whether the error reports a shortage of resources on this machine, as opposed to a fault of an address or
 /// of the remote side.
-inline bool is_shortage(error_code ec) {
+inline bool is_resource_shortage(error_code ec) {
     return ec == asio::error::no_descriptors || ec == asio::error::no_buffer_space ||
            ec == asio::error::no_memory || ec == error_code(ENFILE, boost::system::system_category());
 }
@@ -33,7 +33,7 @@
             return open();
         } catch (const boost::system::system_error& error) {
             const bool is_transient =
-                is_shortage(error.code()) || error.code() == asio::error::address_in_use;
+                is_resource_shortage(error.code()) || error.code() == asio::error::address_in_use;
             if (!is_transient || std::chrono::steady_clock::now() >= retry_until) throw;
             if (!logged) log_line(std::string("startup: retrying to open a socket: ") + error.what());
         }
--- a/src/common/socket_io.hpp
+++ b/src/common/socket_io.hpp
@@ -79,7 +79,7 @@
 
 /// Serializes the message as it is sent on the connection.
 template <bool is_request>
-std::string text_of_message(http::message<is_request, http::string_body>& message) {
+std::string serialize_message(http::message<is_request, http::string_body>& message) {
     std::string text;
     http::serializer<is_request, http::string_body> serializer(message);
     error_code ec;
--- a/src/control/endpoint_list.cpp
+++ b/src/control/endpoint_list.cpp
@@ -15,7 +15,7 @@
             return "SERVING";
         case EndpointState::draining:
             return "DRAINING";
-        case EndpointState::gone:
+        case EndpointState::removed:
             break;
     }
     return "DELETED";
@@ -32,9 +32,9 @@
         endpoint.name = item["host"].text();
         endpoint.state = item["health"].named<EndpointState>({{"SERVING", EndpointState::serving},
                                                               {"DRAINING", EndpointState::draining},
-                                                              {"DELETED", EndpointState::gone}});
+                                                              {"DELETED", EndpointState::removed}});
         // A removed endpoint needs no address.
-        if (endpoint.state != EndpointState::gone || item.has("dial"))
+        if (endpoint.state != EndpointState::removed || item.has("dial"))
             endpoint.address = item["dial"].endpoint<tcp>();
         if (item.has("site")) endpoint.zone = item["site"].text();
         if (item.has("block")) endpoint.cell = item["block"].unsigned_integer();
--- a/src/control/metrics.cpp
+++ b/src/control/metrics.cpp
@@ -76,7 +76,7 @@
     out.family("closes_total", "counter", "Connections closed, by side and reason.");
     out.samples("closes_total", node.listener().closes(), "reason", label_of<CloseReason>,
                 "side=\"clients\",");
-    out.samples("closes_total", node.driver().server_closes(), "reason", label_of<CloseReason>,
+    out.samples("closes_total", node.driver().upstream_closes(), "reason", label_of<CloseReason>,
                 "side=\"servers\",");
 }
 
@@ -142,7 +142,7 @@
 
 void write_replication(MetricsWriter& out, const ReplicationDriver& replication) {
     write_datagrams(out, replication.replica());
-    const auto& endpoints = replication.endpoints_follower();
+    const auto& endpoints = replication.list_follower();
     const auto& settings = replication.settings_follower();
     out.counter("fleet_list_calls_total", endpoints.calls(),
                 "Endpoint lists requested because other members use a newer one.");
--- a/src/control/operator_json.cpp
+++ b/src/control/operator_json.cpp
@@ -47,7 +47,7 @@
             {"records", replica.records()},
             {"caught_up", replica.caught_up()},
             {"acts_on", own_versions_json(replica)},
-            {"list_behind", replication->endpoints_follower().behind()},
+            {"list_behind", replication->list_follower().behind()},
             {"settings_behind", replication->settings_follower().behind()}};
 }
 
--- a/src/control/operator_session.cpp
+++ b/src/control/operator_session.cpp
@@ -66,7 +66,7 @@
     response.version(11);
     response.keep_alive(keep_alive);
     response.prepare_payload();
-    response_ = text_of_message(response);
+    response_ = serialize_message(response);
     write_timeout_.expires_after(kCallTimeout);
     write_timeout_.async_wait([self = shared_from_this()](error_code ec) {
         if (!ec) self->close();
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -123,7 +123,7 @@
     if (!complete) target += "?after=" + std::to_string(seq_) + "&wait_ms=" + std::to_string(wait.count());
     http::request<http::string_body> request(http::verb::get, target, 11);
     request.set(http::field::host, address_.address().to_string());
-    return text_of_message(request);
+    return serialize_message(request);
 }
 
 void DiscoveryClient::exchange(const CallPtr& call) {
--- a/src/discovery/start_times.hpp
+++ b/src/discovery/start_times.hpp
@@ -25,7 +25,7 @@
     /// so the function returns the latest result that is not in the future: a warm endpoint that is treated
     /// as cold only loses some load, but a cold endpoint that is treated as warm is overloaded. 0 means long
     /// ago and stays 0.
-    Millis start_of(Millis started_at, Millis now) const {
+    Millis to_process_clock(Millis started_at, Millis now) const {
         if (started_at <= 0) return 0;
         Millis latest = -1;
         for (const Millis error : errors_) {
--- a/src/fleet/replication_driver.cpp
+++ b/src/fleet/replication_driver.cpp
@@ -129,7 +129,7 @@
 
 void ReplicationDriver::dispatch() {
     for (const replication::Outgoing& datagram : outgoing_) {
-        const bool to_all = datagram.to == replication::kAll;
+        const bool to_all = datagram.to == replication::kAllMembers;
         handlers_.send(to_all ? std::nullopt : std::optional<std::uint32_t>(datagram.to), datagram.bytes);
     }
     outgoing_.clear();
--- a/src/fleet/replication_driver.hpp
+++ b/src/fleet/replication_driver.hpp
@@ -44,7 +44,7 @@
     /// kWithdrawalReporters members of the fleet, selected by a hash of the endpoint's key, publish that.
     void report_withdrawn(replication::EndpointKey endpoint);
 
-    const replication::VersionFollower& endpoints_follower() const { return list_follower_; }
+    const replication::VersionFollower& list_follower() const { return list_follower_; }
     const replication::VersionFollower& settings_follower() const { return settings_follower_; }
     const replication::Replica& replica() const { return replica_; }
     /// Whether the driver was created for the same member id, fleet size and replication settings.
--- a/src/lab/sidecar_log.cpp
+++ b/src/lab/sidecar_log.cpp
@@ -14,8 +14,8 @@
 using nlohmann::json;
 
 constexpr std::string_view kServerPrefix = "s-";  // as the lab names its servers
-constexpr std::string_view kEjected = " removed from the pool";
-constexpr std::string_view kByQuorum = "on the word of";
+constexpr std::string_view kEjected = " ejected from the pool";
+constexpr std::string_view kByQuorum = "on the evidence of";
 constexpr std::string_view kCaughtUp = "caught up with the fleet after ";
 constexpr std::string_view kOmitted = "lines left out";
 
--- a/src/lab/simulated_network.cpp
+++ b/src/lab/simulated_network.cpp
@@ -72,7 +72,7 @@
 
 void SimFleet::send_and_schedule(std::size_t i, std::vector<replication::Outgoing>& out) {
     for (replication::Outgoing& datagram : out) {
-        if (datagram.to != replication::kAll) {
+        if (datagram.to != replication::kAllMembers) {
             inject(i, datagram.to, datagram.bytes);
             continue;
         }
--- a/src/process/config_manager.cpp
+++ b/src/process/config_manager.cpp
@@ -32,7 +32,7 @@
     snapshot->epoch = config.epoch;
     Settings settings = config.settings;
     settings.evidence_shared = config.joins_replication();
-    if (config.local_zone) settings.local_zone = zones.number(*config.local_zone);
+    if (config.local_zone) settings.local_zone = zones.id_of(*config.local_zone);
     snapshot->settings = std::make_shared<const Settings>(std::move(settings));
     snapshot->config = std::move(config);
     return snapshot;
--- a/src/process/graceful_shutdown.cpp
+++ b/src/process/graceful_shutdown.cpp
@@ -62,7 +62,7 @@
 // force at the signal allows. The shutdown waits for each of them.
 bool GracefulShutdown::finished(bool all_accepted) const {
     if (driver_.pending_requests() != 0) return false;
-    return (all_accepted && !listener_.busy()) || clock_.now() >= end_at_;
+    return (all_accepted && !listener_.has_connections()) || clock_.now() >= end_at_;
 }
 
 }  // namespace ochregrade::sidecar
--- a/src/process/node.cpp
+++ b/src/process/node.cpp
@@ -42,7 +42,7 @@
       discovery_(io, start.config.discovery_address, known_seq(start), start.config.settings.polled_discovery,
                  ~start.config.seed,
                  {[this](const EndpointList& list) { endpoints_received(list); },
-                  [this] { driver_.endpoints_failed(); }}),
+                  [this] { driver_.discovery_failed(); }}),
       replication_({io, clock_, driver_, discovery_, peers_}, [this] { reload(); }),
       persistence_(io, clock_, std::move(start.state_store), driver_, discovery_),
       config_manager_(
@@ -59,7 +59,7 @@
     driver_.start();
     if (!start.recovered.snapshots.empty()) driver_.restore(start.recovered.snapshots);
     if (!config.settings.polled_discovery) discovery_.watch(true);
-    listener_.open_for_use();
+    listener_.mark_ready();
     config_manager_.persist_config();
     persistence_.start(config.stable_uptime);
     replication_.configure(config);
@@ -68,7 +68,7 @@
 Node::~Node() = default;
 
 void Node::wire_handlers() {
-    driver_.on_final_answer = [this](std::uint64_t version, bool served) {
+    driver_.on_final_response = [this](std::uint64_t version, bool served) {
         versions_.record_answer(version, served, clock_.now());
     };
     driver_.on_evidence = [this](replication::EndpointKey endpoint, const replication::Evidence& evidence) {
@@ -95,7 +95,7 @@
 }
 
 void Node::datagram_received(std::uint32_t from, std::vector<std::uint8_t> bytes) {
-    if (replication::is_shared_state(bytes)) return replication_.receive(from, bytes);
+    if (replication::is_replication_datagram(bytes)) return replication_.receive(from, bytes);
     driver_.gossip_received(from, std::move(bytes));
 }
 
--- a/src/proxy/balancer_driver.cpp
+++ b/src/proxy/balancer_driver.cpp
@@ -193,8 +193,8 @@
     ++total;
     if (tracing()) trace("answered", request, {{"status", response.result_int()}});
     // A forwarded 4xx concerns the request itself and shows nothing about the configuration.
-    if (on_final_answer && &total != &totals_.forwarded_errors)
-        on_final_answer(request.snapshot->version, &total == &totals_.served);
+    if (on_final_response && &total != &totals_.forwarded_errors)
+        on_final_response(request.snapshot->version, &total == &totals_.served);
     if (const auto client = request.client.lock()) client->send_response(std::move(response));
     upstream_.withdraw_request(id);
 }
@@ -296,7 +296,7 @@
     for (const EndpointId id : not_serving) endpoints_.remove_if_unused(id);
 }
 
-void BalancerDriver::endpoints_failed() { enqueue(EndpointUpdate{EndpointUpdateKind::failed, {}}); }
+void BalancerDriver::discovery_failed() { enqueue(EndpointUpdate{EndpointUpdateKind::failed, {}}); }
 
 std::vector<NamedEndpointSnapshot> BalancerDriver::endpoint_snapshots() const {
     std::vector<NamedEndpointSnapshot> named;
--- a/src/proxy/balancer_driver.hpp
+++ b/src/proxy/balancer_driver.hpp
@@ -56,7 +56,7 @@
     void apply(ConfigSnapshotPtr snapshot, UpstreamPool::Limits limits);
     /// Called with the final response to each request, unless it is a forwarded 4xx. `version`: of the
     /// request's configuration; `served`: an endpoint has processed the request successfully.
-    std::function<void(std::uint64_t version, bool served)> on_final_answer;
+    std::function<void(std::uint64_t version, bool served)> on_final_response;
 
     /// Called with evidence to be shared with the other sidecars.
     std::function<void(replication::EndpointKey endpoint, const replication::Evidence& evidence)> on_evidence;
@@ -74,7 +74,7 @@
     /// configuration or restored.
     void endpoints_received(const EndpointList& endpoints, bool cached = false);
     /// Called when a call to discovery has failed.
-    void endpoints_failed();
+    void discovery_failed();
     replication::EndpointKey endpoint_key_of(const ListedEndpoint& endpoint) const;
     /// Passes evidence from other sidecars to the balancer, except about endpoints that are not listed here.
     void evidence_received(const std::vector<replication::EndpointTotals>& evidence);
@@ -111,7 +111,7 @@
     };
     Usage usage() const;
     /// Closed upstream connections, by reason.
-    const CloseCounts& server_closes() const { return upstream_.closes(); }
+    const CloseCounts& upstream_closes() const { return upstream_.closes(); }
 
 private:
     void enqueue(Event event);
--- a/src/proxy/client_session.cpp
+++ b/src/proxy/client_session.cpp
@@ -96,7 +96,7 @@
 }
 
 void ClientSession::check_disconnected() {
-    if (state_ == State::waiting && peek(socket_) == SocketState::ended) close(CloseReason::peer_closed);
+    if (state_ == State::waiting && peek(socket_) == SocketState::closed) close(CloseReason::peer_closed);
 }
 
 void ClientSession::on_deadline() {
@@ -271,7 +271,7 @@
     keep_alive = keep_alive && !context_.draining && !context_.nearly_full();
     response.keep_alive(keep_alive);
     response.prepare_payload();
-    output_ = text_of_message(response);
+    output_ = serialize_message(response);
     async_write_all(
         socket_, asio::buffer(output_),
         [this, self = shared_from_this(), keep_alive](error_code ec) { on_written(ec, keep_alive); });
--- a/src/proxy/endpoint_table.cpp
+++ b/src/proxy/endpoint_table.cpp
@@ -42,15 +42,16 @@
         // The endpoint has a new process or a new address; another endpoint may use the old address by now.
         // Open connections are useless then, and pending connections may reach the wrong process.
         if (restarted || endpoint.address != listed.address) changes.moved.push_back(id);
-        if (restarted) endpoint.started_at_clock = start_times_.start_of(listed.started_at, clock_.now());
+        if (restarted)
+            endpoint.started_at_clock = start_times_.to_process_clock(listed.started_at, clock_.now());
         endpoint.started_at = listed.started_at;
         endpoint.zone = listed.zone;
         endpoint.cell = listed.cell;
         endpoint.capacity_weight = listed.capacity_weight;
         endpoint.state = listed.state;
-        endpoint.listed = listed.state != EndpointState::gone;
+        endpoint.listed = listed.state != EndpointState::removed;
         if (endpoint.listed) endpoint.address = listed.address;
-        changes.updates.push_back({id, zones_.number(listed.zone), listed.cell, listed.state,
+        changes.updates.push_back({id, zones_.id_of(listed.zone), listed.cell, listed.state,
                                    endpoint.started_at_clock, listed.capacity_weight});
     }
     return changes;
@@ -83,7 +84,7 @@
 EndpointFacts EndpointTable::facts(EndpointId id) const {
     const UpstreamEndpoint* endpoint = find(id);
     if (!endpoint) return {};
-    return {endpoint->listed && endpoint->state == EndpointState::serving, zones_.number(endpoint->zone),
+    return {endpoint->listed && endpoint->state == EndpointState::serving, zones_.id_of(endpoint->zone),
             endpoint->cell};
 }
 
--- a/src/proxy/listener.cpp
+++ b/src/proxy/listener.cpp
@@ -71,7 +71,7 @@
     accepting_ = false;
     if (stopped_) return;
     if (!ec) admit(std::move(socket));
-    if (is_shortage(ec)) return pause_accepting(ec);
+    if (is_resource_shortage(ec)) return pause_accepting(ec);
     accept();
 }
 
@@ -197,7 +197,7 @@
             admit(std::move(socket));
         } else if (ec == asio::error::would_block || ec == asio::error::try_again) {
             return true;
-        } else if (is_shortage(ec)) {
+        } else if (is_resource_shortage(ec)) {
             return false;
         } else {
             ++failures;
--- a/src/proxy/listener.hpp
+++ b/src/proxy/listener.hpp
@@ -24,7 +24,7 @@
     void listen(const tcp::endpoint& address);
     tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
     /// From now on the response to /healthz is 200 while there is an endpoint list.
-    void open_for_use() { context_.ready_for_use = true; }
+    void mark_ready() { context_.ready_for_use = true; }
 
     /// Lowering a limit below the current use ends no request: idle connections are closed and no new
     /// connections are accepted.
@@ -48,7 +48,7 @@
     /// to call it again.
     bool stop_accepting();
     /// Whether there are client connections.
-    bool busy() const { return !context_.sessions.empty(); }
+    bool has_connections() const { return !context_.sessions.empty(); }
     std::size_t connections() const { return context_.sessions.size(); }
     const CloseCounts& closes() const { return context_.closes; }
     /// Whether any request has arrived only in part.
--- a/src/proxy/upstream_connection.cpp
+++ b/src/proxy/upstream_connection.cpp
@@ -143,7 +143,7 @@
         const auto microseconds = static_cast<long long>(propagated_time_left() * 1000);
         message.set("X-Time-Left", std::to_string(microseconds) + "u");
     }
-    output_ = text_of_message(message);
+    output_ = serialize_message(message);
     written_bytes_ = 0;
     write_available_bytes();
 }
--- a/src/proxy/upstream_connection.hpp
+++ b/src/proxy/upstream_connection.hpp
@@ -77,7 +77,7 @@
     /// The current exchange; null while idle or closed.
     const Exchange* exchange() const { return exchange_.get(); }
     /// Whether an idle connection is open and has received no bytes.
-    bool is_usable() { return peek(socket_) == SocketState::quiet; }
+    bool is_usable() { return peek(socket_) == SocketState::no_data; }
 
     void set_exchange(std::unique_ptr<Exchange> exchange);
     std::unique_ptr<Exchange> release_exchange();
--- a/src/proxy/zones.hpp
+++ b/src/proxy/zones.hpp
@@ -11,7 +11,7 @@
 class Zones {
 public:
     /// The zone's id; a new name gets the next free id.
-    ZoneId number(const std::string& name);
+    ZoneId id_of(const std::string& name);
 
 private:
     // Bounds the memory used, whatever names discovery sends: names beyond this number share one id.
--- a/src/replication/codec.hpp
+++ b/src/replication/codec.hpp
@@ -116,7 +116,7 @@
 std::variant<Datagram, DecodeError> decode(std::span<const std::uint8_t> bytes);
 
 /// Whether the first byte and the length are those of a replication datagram.
-inline bool is_shared_state(std::span<const std::uint8_t> bytes) {
+inline bool is_replication_datagram(std::span<const std::uint8_t> bytes) {
     return bytes.size() >= kHeaderBytes && bytes[0] == kFormatByte;
 }
 
--- a/src/replication/datagram_sender.cpp
+++ b/src/replication/datagram_sender.cpp
@@ -28,7 +28,7 @@
 }
 
 void DatagramSender::send_to_all(const Datagram& datagram, std::vector<Outgoing>& out) {
-    out.push_back({kAll, encode(datagram)});
+    out.push_back({kAllMembers, encode(datagram)});
     const std::size_t receivers = members_.size() - 1;
     ++counts_.broadcasts;
     counts_.sent += receivers;
--- a/src/replication/replica_options.hpp
+++ b/src/replication/replica_options.hpp
@@ -10,7 +10,7 @@
 
 namespace ochregrade::replication {
 
-constexpr MemberId kAll = 0xffff;  // as a receiver: every other member
+constexpr MemberId kAllMembers = 0xffff;  // as a receiver: every other member
 constexpr Millis kNever = std::numeric_limits<Millis>::infinity();
 constexpr Millis kLongAgo = -1e18;  // earlier than any time that occurs
 
--- a/src/simulator/balancer_host.cpp
+++ b/src/simulator/balancer_host.cpp
@@ -151,7 +151,7 @@
         for (auto& [id, endpoint] : instance.endpoints) endpoint.listed = false;
     for (const CatalogEntry& entry : entries) {
         const EndpointId id = instance.find_or_add_endpoint(entry.endpoint);
-        instance.endpoints[id].listed = entry.state != EndpointState::gone;
+        instance.endpoints[id].listed = entry.state != EndpointState::removed;
         update.endpoints.push_back({id, instance.config.find_or_add_zone(entry.zone), entry.cell, entry.state,
                                     entry.started_at, entry.capacity_weight});
     }
--- a/src/simulator/vocabulary.cpp
+++ b/src/simulator/vocabulary.cpp
@@ -11,7 +11,7 @@
 using EnumNames = std::array<std::pair<std::string_view, T>, N>;
 
 constexpr EnumNames<EndpointState, 3> kEndpointStates{
-    {{"on", EndpointState::serving}, {"fading", EndpointState::draining}, {"off", EndpointState::gone}}};
+    {{"on", EndpointState::serving}, {"fading", EndpointState::draining}, {"off", EndpointState::removed}}};
 constexpr EnumNames<EndpointUpdateKind, 4> kUpdateKinds{{{"INCREMENTAL", EndpointUpdateKind::incremental},
                                                          {"FULL", EndpointUpdateKind::full},
                                                          {"SAVED", EndpointUpdateKind::cached},
--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -8,20 +8,20 @@
 namespace {
 
 // A balancer with `count` endpoints that are not in slow start, and one request class.
-Rig pool(EndpointId count, std::uint64_t seed = 1, Idempotency idempotency = Idempotency::not_idempotent) {
-    Rig fixture(make_settings({make_class(idempotency)}), seed);
-    fixture.list(EndpointUpdateKind::full, make_servers(count));
+BalancerFixture pool(EndpointId count, std::uint64_t seed = 1,
+                     Idempotency idempotency = Idempotency::not_idempotent) {
+    BalancerFixture fixture(make_settings({make_class(idempotency)}), seed);
+    fixture.list(EndpointUpdateKind::full, make_endpoints(count));
     return fixture;
 }
 
-// Sends requests one after another. Attempts at the endpoints in `failing` end with `outcome`, all others
-// succeed. Returns the number of attempts at the failing endpoints.
-int run_requests(Rig& fixture, int requests, const std::set<EndpointId>& failing, Outcome outcome,
+// Returns the number of attempts at `failing` endpoints, which end with `outcome`; all others succeed.
+int run_requests(BalancerFixture& fixture, int requests, const std::set<EndpointId>& failing, Outcome outcome,
                  Millis duration = 10) {
     int attempts = 0;
     for (int i = 0; i < requests; ++i) {
         const RequestId id = fixture.request();
-        if (!fixture.out(id)) continue;
+        if (!fixture.in_flight(id)) continue;
         const bool is_failing = failing.count(fixture.endpoint_of(id)) > 0;
         attempts += is_failing;
         fixture.end(id, is_failing ? outcome : Outcome::success, duration);
@@ -30,7 +30,7 @@
 }
 
 TEST(OutlierDetection, AFailingEndpointIsEjectedForTheBackoff) {
-    Rig fixture = pool(4);
+    BalancerFixture fixture = pool(4);
     EXPECT_GT(run_requests(fixture, 120, {1}, Outcome::server_error), 0);
     EXPECT_EQ(fixture.ejection_count(), 1);
     EXPECT_EQ(run_requests(fixture, 120, {1}, Outcome::server_error), 0)
@@ -39,7 +39,7 @@
 
 TEST(OutlierDetection, ThreeFailuresInTwentyEjectAndTwoDoNot) {
     for (const int failures : {2, 3}) {
-        Rig fixture = pool(4);
+        BalancerFixture fixture = pool(4);
         run_requests(fixture, 400, {}, Outcome::success);  // full windows of successes
         int left = failures;
         while (left > 0) {
@@ -53,7 +53,7 @@
 }
 
 TEST(OutlierDetection, OldOutcomesLeaveTheWindow) {
-    Rig fixture = pool(4);
+    BalancerFixture fixture = pool(4);
     int failed = 0;
     for (int i = 0, on_one = 0; i < 3000; ++i) {
         const RequestId id = fixture.request();
@@ -66,31 +66,31 @@
 }
 
 TEST(OutlierDetection, ResponsesPastTheLatencyObjectiveCountAsFailures) {
-    Rig fixture = pool(8);
+    BalancerFixture fixture = pool(8);
     for (int round = 0; round < 20 && fixture.ejection_count() == 0; ++round) {
         const auto ids = fixture.burst(32, 5000);  // several at each endpoint at once
         fixture.now += 10;
         for (const RequestId id : ids)
-            if (fixture.out(id) && fixture.endpoint_of(id) != 1) fixture.end(id, Outcome::success, 0);
+            if (fixture.in_flight(id) && fixture.endpoint_of(id) != 1) fixture.end(id, Outcome::success, 0);
         fixture.now += 690;
         for (const RequestId id : ids)
-            if (fixture.out(id)) fixture.end(id, Outcome::success, 0);
+            if (fixture.in_flight(id)) fixture.end(id, Outcome::success, 0);
     }
     EXPECT_EQ(fixture.ejection_count(), 1);
     EXPECT_NE(fixture.endpoint_of(fixture.request()), 1U);
 }
 
 TEST(OutlierDetection, FailuresOfAllEndpointsEjectNone) {
-    Rig fixture = pool(6);
+    BalancerFixture fixture = pool(6);
     for (int i = 0; i < 600; ++i) {
         const RequestId id = fixture.request();
-        if (fixture.out(id)) fixture.end(id, i % 3 ? Outcome::success : Outcome::server_error, 10);
+        if (fixture.in_flight(id)) fixture.end(id, i % 3 ? Outcome::success : Outcome::server_error, 10);
     }
     EXPECT_EQ(fixture.ejection_count(), 0) << "no endpoint is an outlier if all fail alike";
 }
 
 TEST(OutlierDetection, ThePanicThresholdKeepsHalfOfThePool) {
-    Rig fixture = pool(6);
+    BalancerFixture fixture = pool(6);
     for (EndpointId failing = 1; failing <= 5; ++failing) {  // one at a time, so that each is an outlier
         run_requests(fixture, 60, {failing}, Outcome::server_error);
         EXPECT_EQ(fixture.ejection_count(), std::min<int>(3, static_cast<int>(failing)));
@@ -98,7 +98,7 @@
 }
 
 TEST(OutlierDetection, EjectionDoesNotWaitForAFullWindow) {
-    Rig fixture = pool(4);
+    BalancerFixture fixture = pool(4);
     const int attempts = run_requests(fixture, 200, {1}, Outcome::connection_reset);
     EXPECT_EQ(fixture.ejection_count(), 1);
     EXPECT_EQ(attempts, 3) << "three failures put the success share of a window of 20 below 0.9";
@@ -107,10 +107,10 @@
 // ---- Half-open trial ------------------------------------------------------------------------------------
 
 // Ejects endpoint 1 and advances the clock past its backoff; returns the request that is its half-open trial.
-RequestId start_trial(Rig& fixture) {
+RequestId start_trial(BalancerFixture& fixture) {
     run_requests(fixture, 120, {1}, Outcome::server_error);
     EXPECT_EQ(fixture.ejection_count(), 1);
-    fixture.pass(10001);
+    fixture.advance(10001);
     RequestId id = 0;
     for (int i = 0; i < 200; ++i) {
         id = fixture.request();
@@ -122,7 +122,7 @@
 }
 
 TEST(HalfOpenTrial, OneRequestIsSentAndItsSuccessRestoresTheEndpoint) {
-    Rig fixture = pool(4);
+    BalancerFixture fixture = pool(4);
     const RequestId id = start_trial(fixture);
     for (int i = 0; i < 50; ++i) {
         const RequestId other = fixture.request();
@@ -135,7 +135,7 @@
 }
 
 TEST(HalfOpenTrial, SuccessStartsAnEmptyWindow) {
-    Rig fixture = pool(4);
+    BalancerFixture fixture = pool(4);
     fixture.end(start_trial(fixture), Outcome::success, 1);
     int left = 2;
     while (left > 0) {
@@ -148,15 +148,15 @@
 }
 
 TEST(HalfOpenTrial, FailureStartsAnotherBackoff) {
-    Rig fixture = pool(4);
+    BalancerFixture fixture = pool(4);
     fixture.end(start_trial(fixture), Outcome::server_error, 1);
     EXPECT_EQ(run_requests(fixture, 100, {1}, Outcome::server_error), 0);
-    fixture.pass(10001);
+    fixture.advance(10001);
     EXPECT_GT(run_requests(fixture, 100, {1}, Outcome::server_error), 0);
 }
 
 TEST(HalfOpenTrial, ACancelledTrialIsRepeated) {
-    Rig fixture = pool(4);
+    BalancerFixture fixture = pool(4);
     const RequestId id = start_trial(fixture);
     fixture.requests.at(id).client_disconnected = true;
     fixture.handle_event(ClientDisconnected{id});
@@ -167,7 +167,7 @@
 // ---- Endpoint selection ----------------------------------------------------------------------------------
 
 TEST(EndpointSelection, OfTwoTheOneWithFewerInFlightIsSelected) {
-    Rig fixture = pool(2);
+    BalancerFixture fixture = pool(2);
     const RequestId first = fixture.request();
     for (int i = 0; i < 20; ++i) {
         const RequestId id = fixture.request();
@@ -177,7 +177,7 @@
 }
 
 TEST(EndpointSelection, TheChoiceIsBetweenTwoRandomEndpoints) {
-    Rig fixture = pool(10);
+    BalancerFixture fixture = pool(10);
     std::vector<RequestId> busy;
     busy.reserve(200);
     for (int i = 0; i < 200; ++i) busy.push_back(fixture.request(0, 100000));
@@ -192,7 +192,7 @@
 
 TEST(EndpointSelection, ARetryGoesToAnEndpointNotYetTried) {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        Rig fixture = pool(3, seed, Idempotency::idempotent);
+        BalancerFixture fixture = pool(3, seed, Idempotency::idempotent);
         const RequestId id = fixture.request();
         const EndpointId first = fixture.endpoint_of(id);
         fixture.end(id, Outcome::server_error, 10);
@@ -204,7 +204,7 @@
 // ---- Slow start -----------------------------------------------------------------------------------------
 
 TEST(SlowStart, ANewEndpointGetsAPartialShareAndLaterTheFullOne) {
-    Rig fixture = pool(4);
+    BalancerFixture fixture = pool(4);
     run_requests(fixture, 1000, {}, Outcome::success);
     fixture.list(EndpointUpdateKind::incremental, {{9, 0, 0, EndpointState::serving, fixture.now}});
     std::map<EndpointId, int> load;
@@ -215,7 +215,7 @@
     }
     EXPECT_GT(load[9], 0);
     EXPECT_LT(load[9], load[1] * 0.65) << "slow-start share about a third after 4 s, plus a margin";
-    fixture.pass(21000);
+    fixture.advance(21000);
     load.clear();
     for (int i = 0; i < 400; ++i) {
         const RequestId id = fixture.request();
@@ -228,12 +228,12 @@
 // ---- Retry budget, admission, list ----------------------------------------------------------------------
 
 TEST(RetryBudget, RetriesToAFailingPoolStayWithinTheBudget) {
-    Rig fixture = pool(6, 1, Idempotency::idempotent);
+    BalancerFixture fixture = pool(6, 1, Idempotency::idempotent);
     std::size_t attempts = 0;
     const int requests = 500;
     for (int i = 0; i < requests; ++i) {
         const RequestId id = fixture.request();
-        while (fixture.out(id)) fixture.end(id, Outcome::server_error, 2);
+        while (fixture.in_flight(id)) fixture.end(id, Outcome::server_error, 2);
         attempts += fixture.attempt_count(id);
     }
     EXPECT_GT(attempts, requests * 1.1);
@@ -241,7 +241,7 @@
 }
 
 TEST(AdmissionControl, SlowResponsesBoundTheRequestsInFlight) {
-    Rig fixture = pool(4);
+    BalancerFixture fixture = pool(4);
     for (int i = 0; i < 60; ++i) fixture.complete_all(fixture.burst(40, 5000), 600);  // 1.5 x objective
     const auto ids = fixture.burst(200, 5000);
     EXPECT_LT(fixture.count_in_flight(ids), 100);
@@ -250,7 +250,7 @@
 
 // retry_after is about a response time under overload, and the backoff if no endpoint is available.
 TEST(AdmissionControl, ARejectionHasARetryAfterTime) {
-    Rig crowd = pool(4);
+    BalancerFixture crowd = pool(4);
     for (int i = 0; i < 60; ++i) crowd.complete_all(crowd.burst(40, 5000), 600);
     crowd.retry_advice.clear();
     crowd.burst(200, 5000);
@@ -260,15 +260,15 @@
         EXPECT_GT(advice, 100);
         EXPECT_LE(advice, 600);
     }
-    Rig empty = pool(1);
+    BalancerFixture empty = pool(1);
     empty.list(EndpointUpdateKind::incremental, {{1, 0, 0, EndpointState::draining, 0}});
     empty.request();
-    empty.pass(100);
+    empty.advance(100);
     EXPECT_EQ(empty.retry_advice, std::vector<Millis>{10000});
 }
 
 TEST(AdmissionControl, FastResponsesBoundNothing) {
-    Rig fixture = pool(4);
+    BalancerFixture fixture = pool(4);
     for (int i = 0; i < 60; ++i) fixture.complete_all(fixture.burst(40, 5000), 20);
     EXPECT_EQ(fixture.count_in_flight(fixture.burst(200, 5000)), 200);
 }
@@ -277,7 +277,7 @@
     for (const bool polled : {false, true}) {
         Settings s = make_settings();
         s.polled_discovery = polled;
-        Rig fixture(s);
+        BalancerFixture fixture(s);
         fixture.handle_event(Started{});
         EXPECT_EQ(fixture.count<SubscribeEndpoints>(), polled ? 1 : 0);
     }
@@ -288,7 +288,7 @@
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
         Settings s = make_settings();
         s.polled_discovery = true;
-        Rig fixture(s, seed);
+        BalancerFixture fixture(s, seed);
         fixture.handle_event(Started{});
         Millis last_delay = 0, total = 0;
         for (int i = 0; i < 3; ++i) {
@@ -310,19 +310,19 @@
 }
 
 TEST(EndpointDiscovery, AFailedCallKeepsTheCurrentList) {
-    Rig fixture = pool(2);
+    BalancerFixture fixture = pool(2);
     fixture.list(EndpointUpdateKind::failed, {});
-    EXPECT_TRUE(fixture.out(fixture.request()));
+    EXPECT_TRUE(fixture.in_flight(fixture.request()));
 }
 
 TEST(EndpointDiscovery, QueuedRequestsAreSentWhenAnEndpointAppears) {
-    Rig fixture(make_settings());
+    BalancerFixture fixture(make_settings());
     fixture.list(EndpointUpdateKind::cached, {});
     const RequestId id = fixture.request();
-    EXPECT_FALSE(fixture.out(id));
+    EXPECT_FALSE(fixture.in_flight(id));
     fixture.now += 5;
-    fixture.list(EndpointUpdateKind::full, make_servers(2));
-    EXPECT_TRUE(fixture.out(id));
+    fixture.list(EndpointUpdateKind::full, make_endpoints(2));
+    EXPECT_TRUE(fixture.in_flight(id));
 }
 
 // ---- Bad input ------------------------------------------------------------------------------------------
@@ -360,7 +360,7 @@
 }
 
 TEST(EventHandling, EventsAboutUnknownOrEndedSubjectsAreIgnored) {
-    Rig fixture = pool(2);
+    BalancerFixture fixture = pool(2);
     const RequestId id = fixture.request();
     fixture.end(id, Outcome::success, 10);
     const auto expect_no_actions = [&](const Event& event) {
@@ -382,7 +382,7 @@
 }
 
 TEST(EventHandling, AClockStepBackDoesNotMoveTimers) {
-    Rig fixture = pool(2);
+    BalancerFixture fixture = pool(2);
     const RequestId id = fixture.request(0, 1000);
     std::vector<Action> actions;
     fixture.balancer.handle(fixture.now - 5000, RequestArrived{777, 0, 1000}, actions);
--- a/tests/balancer/endpoint_selector_test.cpp
+++ b/tests/balancer/endpoint_selector_test.cpp
@@ -52,7 +52,7 @@
 
 TEST(EndpointSelector, ATieGoesToTheLocalZoneWhereCrossingCosts) {
     Settings settings = make_settings();
-    settings.local_zone = 1;  // the zone of endpoint 1; make_servers() sets zone to id % 3
+    settings.local_zone = 1;  // the zone of endpoint 1; make_endpoints() sets zone to id % 3
     settings.fees.cross_zone = 0.1;
     SelectorFixture fixture(settings);
     fixture.list(2);
@@ -63,7 +63,7 @@
 
 TEST(EndpointSelector, TheDrawFollowsTheCapacityWeight) {
     SelectorFixture fixture;
-    std::vector<Endpoint> endpoints = make_servers(3);
+    std::vector<Endpoint> endpoints = make_endpoints(3);
     endpoints[0].capacity_weight = 4;
     fixture.table.apply({EndpointUpdateKind::full, endpoints});
     std::map<EndpointId, int> counts = fixture.select_many(6000);
--- a/tests/balancer/endpoint_table_test.cpp
+++ b/tests/balancer/endpoint_table_test.cpp
@@ -22,7 +22,7 @@
     ModuleFixture fixture;
     fixture.list(2);
     fixture.endpoint(2).in_flight = 1;
-    fixture.table.apply({EndpointUpdateKind::full, make_servers(1)});
+    fixture.table.apply({EndpointUpdateKind::full, make_endpoints(1)});
     EXPECT_TRUE(fixture.table.removed_and_idle().empty());
     EXPECT_FALSE(fixture.table.erase_if_removed_and_idle(2));
     fixture.endpoint(2).in_flight = 0;
--- a/tests/balancer/fleet_gossip_test.cpp
+++ b/tests/balancer/fleet_gossip_test.cpp
@@ -4,9 +4,9 @@
 namespace ochregrade::test {
 namespace {
 
-Rig sidecar_with_endpoints(EndpointId count) {
-    Rig fixture(make_settings({make_class(Idempotency::not_idempotent)}));
-    fixture.list(EndpointUpdateKind::full, make_servers(count));
+BalancerFixture sidecar_with_endpoints(EndpointId count) {
+    BalancerFixture fixture(make_settings({make_class(Idempotency::not_idempotent)}));
+    fixture.list(EndpointUpdateKind::full, make_endpoints(count));
     return fixture;
 }
 
@@ -18,13 +18,13 @@
     s.gossip_allowed = gossip_allowed;
     s.sidecar_count = sidecar_count;
     s.sidecar_index = 7;
-    Rig fixture(s);
-    fixture.list(EndpointUpdateKind::full, make_servers(20));
+    BalancerFixture fixture(s);
+    fixture.list(EndpointUpdateKind::full, make_endpoints(20));
     std::vector<std::pair<std::uint32_t, std::vector<std::uint8_t>>> messages;
     for (int i = 0; i < 30; ++i) {
-        fixture.pass(700);
+        fixture.advance(700);
         const RequestId id = fixture.request();
-        if (!fixture.out(id)) continue;
+        if (!fixture.in_flight(id)) continue;
         fixture.end(id, outcome, 10);
         for (const Action& a : fixture.last)
             if (const auto* message = std::get_if<SendGossip>(&a); message && message->bytes.size() == length)
@@ -71,10 +71,10 @@
 // Traffic of one sidecar among many: no outcome window fills within a backoff.
 constexpr Millis kLowTrafficInterarrival = 100;
 
-int sent_to(Rig& fixture, EndpointId server, int requests) {
+int sent_to(BalancerFixture& fixture, EndpointId server, int requests) {
     int attempts = 0;
     for (int i = 0; i < requests; ++i) {
-        fixture.pass(kLowTrafficInterarrival);
+        fixture.advance(kLowTrafficInterarrival);
         const RequestId id = fixture.request();
         attempts += fixture.endpoint_of(id) == server;
         fixture.end(id, Outcome::success, 0);
@@ -82,8 +82,8 @@
     return attempts;
 }
 
-Rig sidecar_with_reports(EndpointId count, EndpointId server, int messages) {
-    Rig fixture = sidecar_with_endpoints(count);
+BalancerFixture sidecar_with_reports(EndpointId count, EndpointId server, int messages) {
+    BalancerFixture fixture = sidecar_with_endpoints(count);
     sent_to(fixture, 0, 5);
     for (int i = 0; i < messages; ++i)
         fixture.handle_event(GossipReceived{3, {0, 0, 0, static_cast<std::uint8_t>(server)}});
@@ -91,14 +91,14 @@
 }
 
 TEST(FailureGossip, SuspicionBreaksTiesAndDecays) {
-    Rig fixture = sidecar_with_reports(10, 4, 8);
+    BalancerFixture fixture = sidecar_with_reports(10, 4, 8);
     EXPECT_EQ(sent_to(fixture, 4, 100), 0) << "the other endpoint of each draw gets the request";
-    fixture.pass(3600000);
+    fixture.advance(3600000);
     EXPECT_GT(sent_to(fixture, 4, 200), 0);
 }
 
 TEST(FailureGossip, ASingleReportHasNoEffect) {
-    Rig fixture = sidecar_with_reports(10, 4, 1);
+    BalancerFixture fixture = sidecar_with_reports(10, 4, 1);
     EXPECT_GT(sent_to(fixture, 4, 100), 0);
 }
 
@@ -106,10 +106,11 @@
 // decided, such an endpoint would get more requests than the others.
 TEST(FailureGossip, ASuspectedEndpointIsSeldomDrawn) {
     const auto in_flight = [](int messages) {
-        Rig fixture = sidecar_with_reports(10, 4, messages);
+        BalancerFixture fixture = sidecar_with_reports(10, 4, messages);
         std::map<EndpointId, int> out;
         for (int i = 0; i < 60; ++i)
-            fixture.pass(kLowTrafficInterarrival), out[fixture.endpoint_of(fixture.request(0, 60000))] += 1;
+            fixture.advance(kLowTrafficInterarrival),
+                out[fixture.endpoint_of(fixture.request(0, 60000))] += 1;
         return out[4];
     };
     EXPECT_GE(in_flight(0), 4);
@@ -120,12 +121,12 @@
 // raise its concurrency limit.
 TEST(LoadReports, PeersReportsMoveTheConcurrencyLimit) {
     const auto admitted = [](std::uint8_t reported_ratio) {
-        Rig fixture = sidecar_with_reports(10, 4, 0);
+        BalancerFixture fixture = sidecar_with_reports(10, 4, 0);
         for (int i = 0; i < 40; ++i) {
-            fixture.pass(kLowTrafficInterarrival);
+            fixture.advance(kLowTrafficInterarrival);
             for (int m = 0; m < 10; ++m) fixture.handle_event(GossipReceived{3, {reported_ratio}});
             const RequestId id = fixture.request(0, 60000);
-            if (fixture.out(id)) fixture.end(id, Outcome::success, 0);
+            if (fixture.in_flight(id)) fixture.end(id, Outcome::success, 0);
         }
         return fixture.count_in_flight(fixture.burst(40, 60000));
     };
@@ -135,10 +136,10 @@
 
 // If an outcome window fills within a backoff, the sidecar's own outcomes are better evidence than gossip.
 TEST(FailureGossip, ASidecarWithMuchTrafficUsesItsOwnWindows) {
-    Rig fixture = sidecar_with_reports(10, 4, 8);
+    BalancerFixture fixture = sidecar_with_reports(10, 4, 8);
     int attempts = 0;
     for (int i = 0; i < 300; ++i) {
-        fixture.pass(1);
+        fixture.advance(1);
         const RequestId id = fixture.request();
         if (i >= 100) attempts += fixture.endpoint_of(id) == 4;
         fixture.end(id, Outcome::success, 0);
@@ -147,7 +148,7 @@
 }
 
 TEST(FailureGossip, APeerEjectsNothingAndMalformedMessagesHaveNoEffect) {
-    Rig fixture = sidecar_with_endpoints(10);
+    BalancerFixture fixture = sidecar_with_endpoints(10);
     sent_to(fixture, 0, 5);
     for (int i = 0; i < 1000; ++i)
         for (std::uint8_t s = 1; s <= 10; ++s) fixture.handle_event(GossipReceived{3, {0, 0, 0, s}});
@@ -158,9 +159,9 @@
     EXPECT_EQ(fixture.ejection_count(), 0);
     std::set<EndpointId> used;
     for (int i = 0; i < 300; ++i) {
-        fixture.pass(kLowTrafficInterarrival);
+        fixture.advance(kLowTrafficInterarrival);
         const RequestId id = fixture.request();
-        ASSERT_TRUE(fixture.out(id));
+        ASSERT_TRUE(fixture.in_flight(id));
         used.insert(fixture.endpoint_of(id));
         fixture.end(id, Outcome::success, 0);
     }
--- a/tests/balancer/fleet_subset_test.cpp
+++ b/tests/balancer/fleet_subset_test.cpp
@@ -11,11 +11,11 @@
                                     const std::set<EndpointId>& failing = {}) {
     Settings s = make_settings({make_class(Idempotency::not_idempotent)});
     s.sidecar_count = 100, s.sidecar_index = index;
-    Rig fixture(s, index + 1);
-    fixture.list(EndpointUpdateKind::full, make_servers(60));
+    BalancerFixture fixture(s, index + 1);
+    fixture.list(EndpointUpdateKind::full, make_endpoints(60));
     std::set<EndpointId> used;
     for (int i = 0; i < 600; ++i) {
-        fixture.pass(interarrival);
+        fixture.advance(interarrival);
         const RequestId id = fixture.request();
         if (i >= 100) used.insert(fixture.endpoint_of(id));
         fixture.end(id, failing.count(fixture.endpoint_of(id)) > 0 ? Outcome::server_error : Outcome::success,
--- a/tests/balancer/fleet_test.cpp
+++ b/tests/balancer/fleet_test.cpp
@@ -15,13 +15,13 @@
     for (std::uint32_t n = 0; n < sidecars; ++n) {
         Settings s = make_settings({make_class(Idempotency::not_idempotent)});
         s.sidecar_count = sidecars;
-        Rig fixture(s, n + 1);
-        fixture.list(EndpointUpdateKind::full, make_servers(warm));
+        BalancerFixture fixture(s, n + 1);
+        fixture.list(EndpointUpdateKind::full, make_endpoints(warm));
         fixture.list(EndpointUpdateKind::incremental,
                      {{warm + 1, 0, 0, EndpointState::serving, fixture.now - age}});
         for (int i = 0; i < requests_each; ++i) {
             const RequestId id = fixture.request();
-            if (!fixture.out(id)) continue;
+            if (!fixture.in_flight(id)) continue;
             (fixture.endpoint_of(id) == warm + 1 ? cold : others) += 1;
             fixture.end(id, Outcome::success, 0.25);  // ms: short enough that the endpoint stays cold
         }
@@ -41,13 +41,13 @@
 TEST(SlowStart, ANewEndpointDoesNotBypassTheConcurrencyLimit) {
     // Slow responses have lowered the concurrency limit. Requests above the limit must not go to the cold
     // endpoint instead.
-    Rig fixture(make_settings({make_class(Idempotency::not_idempotent)}));
-    fixture.list(EndpointUpdateKind::full, make_servers(4));
+    BalancerFixture fixture(make_settings({make_class(Idempotency::not_idempotent)}));
+    fixture.list(EndpointUpdateKind::full, make_endpoints(4));
     for (int i = 0; i < 60; ++i) fixture.complete_all(fixture.burst(40, 5000), 600);
     fixture.list(EndpointUpdateKind::incremental, {{9, 0, 0, EndpointState::serving, fixture.now}});
     const auto ids = fixture.burst(200, 5000);
     const auto cold = std::count_if(ids.begin(), ids.end(), [&](RequestId id) {
-        return fixture.out(id) && fixture.endpoint_of(id) == 9;
+        return fixture.in_flight(id) && fixture.endpoint_of(id) == 9;
     });
     EXPECT_LT(fixture.count_in_flight(ids), 100);
     EXPECT_LT(cold, fixture.count_in_flight(ids) / 2);
@@ -59,8 +59,8 @@
     for (std::uint64_t n = 1; n <= 1000; ++n) {
         Settings settings = make_settings({make_class(Idempotency::not_idempotent)});
         settings.sidecar_count = 1000, settings.sidecar_index = static_cast<std::uint32_t>(n - 1);
-        Rig fixture(settings, n);
-        auto servers = make_servers(20);
+        BalancerFixture fixture(settings, n);
+        auto servers = make_endpoints(20);
         for (Endpoint& s : servers) s.capacity_weight = s.id % 3 == 0 ? 3 : 1;
         fixture.list(EndpointUpdateKind::full, servers);
         for (int i = 0; i < 4; ++i) {
@@ -73,8 +73,8 @@
 }
 
 TEST(EndpointSelection, AnInvalidCapacityWeightCountsAsOne) {
-    Rig fixture(make_settings({make_class(Idempotency::not_idempotent)}));
-    auto servers = make_servers(3);
+    BalancerFixture fixture(make_settings({make_class(Idempotency::not_idempotent)}));
+    auto servers = make_endpoints(3);
     servers[0].capacity_weight = 0, servers[1].capacity_weight = -2,
     servers[2].capacity_weight = std::nan("");
     fixture.list(EndpointUpdateKind::full, servers);
@@ -90,11 +90,11 @@
 // Whether the idle connection to an endpoint is closed after the last response, with `servers` endpoints and
 // a request every `interarrival` ms.
 bool closes_idle_connections(EndpointId servers, Millis interarrival) {
-    Rig fixture(make_settings({make_class(Idempotency::not_idempotent)}));
-    fixture.list(EndpointUpdateKind::full, make_servers(servers));
+    BalancerFixture fixture(make_settings({make_class(Idempotency::not_idempotent)}));
+    fixture.list(EndpointUpdateKind::full, make_endpoints(servers));
     int closed = 0;
     for (int i = 0; i < 60; ++i) {
-        fixture.pass(interarrival);
+        fixture.advance(interarrival);
         fixture.end(fixture.request(), Outcome::success, 0);
         closed = fixture.count<CloseIdleConnections>();
     }
@@ -112,14 +112,14 @@
 int admitted_after_list_drop(EndpointId left) {
     Settings s = make_settings({make_class(Idempotency::not_idempotent)});
     s.sidecar_count = 100;
-    Rig fixture(s);
-    fixture.list(EndpointUpdateKind::full, make_servers(20));
+    BalancerFixture fixture(s);
+    fixture.list(EndpointUpdateKind::full, make_endpoints(20));
     for (int i = 0; i < 60; ++i) {
-        fixture.pass(50);
+        fixture.advance(50);
         const RequestId id = fixture.request(0, 60000);
         if (i >= 3) fixture.end(id - 3, Outcome::success, 0);
     }
-    fixture.list(EndpointUpdateKind::full, make_servers(left));
+    fixture.list(EndpointUpdateKind::full, make_endpoints(left));
     return fixture.count_in_flight(fixture.burst(40, 60000));
 }
 
@@ -134,18 +134,18 @@
 int admitted_after_connect_failures(EndpointId refusing, bool back) {
     Settings s = make_settings({make_class(Idempotency::not_idempotent)});
     s.sidecar_count = 100;
-    Rig fixture(s);
-    fixture.list(EndpointUpdateKind::full, make_servers(20));
+    BalancerFixture fixture(s);
+    fixture.list(EndpointUpdateKind::full, make_endpoints(20));
     std::vector<RequestId> all;
     for (int i = 0; i < 400; ++i) {
         const bool down = i >= 60 && (i < 100 || !back);
         if (!back && i == 100) break;
-        fixture.pass(50);
+        fixture.advance(50);
         const RequestId id = fixture.request(0, 60000);
-        while (down && fixture.out(id) && fixture.endpoint_of(id) <= refusing)
+        while (down && fixture.in_flight(id) && fixture.endpoint_of(id) <= refusing)
             fixture.end(id, Outcome::connect_failure, 0);
         all.push_back(id);  // may wait in the queue and be sent later
-        if (i >= 3 && fixture.out(all[i - 3])) fixture.end(all[i - 3], Outcome::success, 0);
+        if (i >= 3 && fixture.in_flight(all[i - 3])) fixture.end(all[i - 3], Outcome::success, 0);
     }
     return fixture.count_in_flight(fixture.burst(40, 60000));
 }
@@ -165,12 +165,12 @@
     for (std::uint64_t n = 1; n <= 200; ++n) {
         Settings s = make_settings({make_class(Idempotency::not_idempotent)});
         s.sidecar_count = 1000;
-        Rig fixture(s, n);
-        fixture.list(EndpointUpdateKind::full, make_servers(20));
+        BalancerFixture fixture(s, n);
+        fixture.list(EndpointUpdateKind::full, make_endpoints(20));
         for (int i = 0; i < 40; ++i) {
-            fixture.pass(500);
+            fixture.advance(500);
             const RequestId id = fixture.request();
-            while (fixture.out(id)) fixture.end(id, Outcome::overloaded, 1);
+            while (fixture.in_flight(id)) fixture.end(id, Outcome::overloaded, 1);
             if (i >= 30) ++requests, sent += fixture.attempt_count(id) > 0;
         }
     }
--- a/tests/balancer/module_fixture.hpp
+++ b/tests/balancer/module_fixture.hpp
@@ -21,7 +21,7 @@
 
     /// Applies a full endpoint list with the endpoints 1 to count, all started at the same time.
     void list(EndpointId count, Millis started_at = 0) {
-        table.apply({EndpointUpdateKind::full, make_servers(count, started_at)});
+        table.apply({EndpointUpdateKind::full, make_endpoints(count, started_at)});
     }
     detail::EndpointRecord& endpoint(EndpointId id) { return *table.find(id); }
 
--- a/tests/balancer/replay_runs.cpp
+++ b/tests/balancer/replay_runs.cpp
@@ -219,12 +219,12 @@
         auto position = endpoints_.begin();
         std::advance(position, static_cast<std::ptrdiff_t>(draws_.below(endpoints_.size())));
         Endpoint& endpoint = position->second;
-        endpoint.state = draws_.one_of(
-            {EndpointState::serving, EndpointState::serving, EndpointState::draining, EndpointState::gone});
+        endpoint.state = draws_.one_of({EndpointState::serving, EndpointState::serving,
+                                        EndpointState::draining, EndpointState::removed});
         if (draws_.chance(0.4)) endpoint.started_at = now_;
         health_[endpoint.id] = draw_health();
         const Endpoint changed = endpoint;
-        if (endpoint.state == EndpointState::gone) endpoints_.erase(position);
+        if (endpoint.state == EndpointState::removed) endpoints_.erase(position);
         return changed;
     }
 
--- a/tests/balancer/rules_test.cpp
+++ b/tests/balancer/rules_test.cpp
@@ -29,7 +29,7 @@
     return s;
 }
 
-void end_random_attempt(Rig& fixture, RandomNumbers& random) {
+void end_random_attempt(BalancerFixture& fixture, RandomNumbers& random) {
     std::vector<std::pair<RequestId, std::uint32_t>> in_flight;
     for (const auto& [id, r] : fixture.requests)
         for (std::uint32_t i = 0; i < r.attempts.size(); ++i)
@@ -44,10 +44,10 @@
     fixture.end_attempt(id, attempt, ended ? Outcome::cancelled : outcomes[random.below(9)]);
 }
 
-void change_list(Rig& fixture, RandomNumbers& random) {
+void change_list(BalancerFixture& fixture, RandomNumbers& random) {
     const EndpointId id = 1 + random.below(10);
     const EndpointState states[] = {EndpointState::serving, EndpointState::serving, EndpointState::draining,
-                                    EndpointState::gone};
+                                    EndpointState::removed};
     const Millis started_at = random.below(2) ? fixture.now - random.below(5000) : 0;
     if (random.below(5)) {
         fixture.list(EndpointUpdateKind::incremental,
@@ -60,9 +60,9 @@
     }
 }
 
-void run_random_events(Rig& fixture, RandomNumbers& random, int steps) {
+void run_random_events(BalancerFixture& fixture, RandomNumbers& random, int steps) {
     fixture.handle_event(Started{});
-    fixture.list(EndpointUpdateKind::cached, make_servers(6));
+    fixture.list(EndpointUpdateKind::cached, make_endpoints(6));
     for (int i = 0; i < steps; ++i) {
         const std::uint32_t what = random.below(100);
         if (what < 45) {
@@ -86,18 +86,18 @@
             fixture.handle_event(
                 GossipReceived{random.below(200), {0, 0, 0, std::uint8_t(random.below(14))}});
         } else {
-            fixture.pass(random.below(what == 99 ? 4000 : 60));
+            fixture.advance(random.below(what == 99 ? 4000 : 60));
         }
         for (auto at = fixture.requests.begin(); at != fixture.requests.end();)  // keeps the test fast
-            at = fixture.is_ended(at->second) && !fixture.out(at->first) ? fixture.requests.erase(at)
-                                                                         : std::next(at);
+            at = fixture.is_ended(at->second) && !fixture.in_flight(at->first) ? fixture.requests.erase(at)
+                                                                               : std::next(at);
     }
 }
 
 TEST(Rules, HoldOverRandomLegalEventSequences) {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         SCOPED_TRACE(seed);
-        Rig fixture(all_classes(seed % 2), seed);
+        BalancerFixture fixture(all_classes(seed % 2), seed);
         RandomNumbers random(seed);
         run_random_events(fixture, random, 1500);
         fixture.finish_all();
@@ -125,7 +125,7 @@
 TEST(Rules, HoldForEachRequestByTheSettingsItArrivedUnder) {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         SCOPED_TRACE(seed);
-        Rig fixture(all_classes(seed % 2), seed);
+        BalancerFixture fixture(all_classes(seed % 2), seed);
         RandomNumbers random(seed);
         for (int round = 0; round < 60; ++round) {
             run_random_events(fixture, random, 25);
@@ -139,11 +139,11 @@
 }
 
 TEST(Restore, AnEjectionContinuesAfterARestart) {
-    Rig fixture(all_classes(false), 4);
-    fixture.list(EndpointUpdateKind::full, make_servers(4));
+    BalancerFixture fixture(all_classes(false), 4);
+    fixture.list(EndpointUpdateKind::full, make_endpoints(4));
     for (int i = 0; i < 200; ++i) {
         const RequestId id = fixture.request(0);
-        while (fixture.out(id))
+        while (fixture.in_flight(id))
             fixture.end(id, fixture.endpoint_of(id) == 1 ? Outcome::server_error : Outcome::success, 5);
     }
     std::vector<EndpointSnapshot> snapshot = fixture.balancer.snapshot();
@@ -151,15 +151,15 @@
     EXPECT_GT(snapshot[0].ejected_for, 0);
     EXPECT_LE(snapshot[0].ejected_for, 10000);
     snapshot[0].ejected_for = 1e9;  // invalid data from disk: limited to a backoff
-    Rig next(all_classes(false), 5);
-    next.list(EndpointUpdateKind::cached, make_servers(4));
+    BalancerFixture next(all_classes(false), 5);
+    next.list(EndpointUpdateKind::cached, make_endpoints(4));
     next.handle_event(StateRestored{snapshot});
     for (int i = 0; i < 100; ++i) {
         const RequestId id = next.request(0);
         EXPECT_NE(next.endpoint_of(id), 1U);
         next.end(id, Outcome::success, 5);
     }
-    next.pass(10000);
+    next.advance(10000);
     const RequestId trial = next.request(0);
     EXPECT_EQ(next.endpoint_of(trial), 1U) << "the half-open trial after the backoff";
     next.end(trial, Outcome::success, 5);
@@ -172,21 +172,21 @@
 }
 
 TEST(Restore, RestoredEjectionsDoNotEmptyThePool) {
-    Rig fixture(all_classes(false), 4);
-    fixture.list(EndpointUpdateKind::cached, make_servers(6));
+    BalancerFixture fixture(all_classes(false), 4);
+    fixture.list(EndpointUpdateKind::cached, make_endpoints(6));
     std::vector<EndpointSnapshot> all;
     for (EndpointId s = 1; s <= 6; ++s) all.push_back({s, 9000, -3});
     fixture.handle_event(StateRestored{all});
     EXPECT_EQ(fixture.balancer.usage().ejected, 3U);
-    EXPECT_TRUE(fixture.out(fixture.request(0)));
+    EXPECT_TRUE(fixture.in_flight(fixture.request(0)));
 }
 
 TEST(SettingsChange, TheStateOfEndpointsIsKept) {
-    Rig fixture(all_classes(false), 4);
-    fixture.list(EndpointUpdateKind::full, make_servers(4));
+    BalancerFixture fixture(all_classes(false), 4);
+    fixture.list(EndpointUpdateKind::full, make_endpoints(4));
     for (int i = 0; i < 200; ++i) {
         const RequestId id = fixture.request(0);
-        while (fixture.out(id))
+        while (fixture.in_flight(id))
             fixture.end(id, fixture.endpoint_of(id) == 1 ? Outcome::server_error : Outcome::success, 5);
     }
     ASSERT_EQ(fixture.balancer.usage().ejected, 1U);
@@ -202,8 +202,8 @@
 }
 
 TEST(SettingsChange, InvalidSettingsHaveNoEffect) {
-    Rig fixture(all_classes(false), 4);
-    fixture.list(EndpointUpdateKind::full, make_servers(4));
+    BalancerFixture fixture(all_classes(false), 4);
+    fixture.list(EndpointUpdateKind::full, make_endpoints(4));
     const SettingsPtr good = fixture.current_settings;
     Settings bad = all_classes(false);
     bad.classes[0].latency_objective = -1;
@@ -241,7 +241,7 @@
 }
 
 TEST(SettingsChange, TurningPolledDiscoveryOnSubscribesOnce) {
-    Rig fixture(all_classes(false), 4);
+    BalancerFixture fixture(all_classes(false), 4);
     Settings polled = all_classes(false);
     polled.polled_discovery = true;
     fixture.change_settings(polled);
@@ -253,13 +253,13 @@
 TEST(Rules, SameEventsGiveTheSameActions) {
     std::vector<std::string> traces;
     for (int run = 0; run < 2; ++run) {
-        Rig fixture(all_classes(false), 5);
+        BalancerFixture fixture(all_classes(false), 5);
         RandomNumbers random(5);
         std::string trace;
-        fixture.list(EndpointUpdateKind::full, make_servers(6));
+        fixture.list(EndpointUpdateKind::full, make_endpoints(6));
         for (int i = 0; i < 500; ++i) {
             const RequestId id = fixture.request(random.below(5));
-            trace += fixture.out(id) ? std::to_string(fixture.endpoint_of(id)) + "," : "-,";
+            trace += fixture.in_flight(id) ? std::to_string(fixture.endpoint_of(id)) + "," : "-,";
             end_random_attempt(fixture, random);
             fixture.now += 1;
             if (i % 50 == 49) fixture.change_settings(random_settings(random));
@@ -270,7 +270,7 @@
 }
 
 TEST(Rules, MemoryStaysBoundedOverALongRun) {
-    Rig fixture(all_classes(false), 3);
+    BalancerFixture fixture(all_classes(false), 3);
     RandomNumbers random(3);
     EndpointId fresh = 100;
     for (int round = 0; round < 60; ++round) {
@@ -278,7 +278,7 @@
         fixture.list(EndpointUpdateKind::full, {{fresh, 0, 0, EndpointState::serving, 0},
                                                 {fresh + 1, 1, 1, EndpointState::serving, 0}});
         fresh += 2;
-        fixture.pass(10000);
+        fixture.advance(10000);
     }
     fixture.finish_all();
     EXPECT_EQ(fixture.balancer.usage().requests, 0U);
@@ -288,15 +288,15 @@
 
 // ---- Single cases ---------------------------------------------------------------------------------------
 
-Rig three_endpoints(RequestClass kind, std::uint64_t seed = 1) {
-    Rig fixture(make_settings({kind}), seed);
-    fixture.list(EndpointUpdateKind::full, make_servers(3));
+BalancerFixture three_endpoints(RequestClass kind, std::uint64_t seed = 1) {
+    BalancerFixture fixture(make_settings({kind}), seed);
+    fixture.list(EndpointUpdateKind::full, make_endpoints(3));
     return fixture;
 }
 
 TEST(Idempotency, ANonIdempotentRequestThatMayHaveRunIsNotRetriedOrRejected) {
     for (const Outcome outcome : {Outcome::server_error, Outcome::timeout, Outcome::connection_reset}) {
-        Rig fixture = three_endpoints(make_class(Idempotency::not_idempotent));
+        BalancerFixture fixture = three_endpoints(make_class(Idempotency::not_idempotent));
         const RequestId id = fixture.request();
         fixture.end(id, outcome);
         EXPECT_EQ(fixture.attempt_count(id), 1U);
@@ -306,7 +306,7 @@
 }
 
 TEST(Idempotency, AnUnknownClassIsTreatedAsNotIdempotent) {
-    Rig fixture = three_endpoints(make_class(Idempotency::idempotent));
+    BalancerFixture fixture = three_endpoints(make_class(Idempotency::idempotent));
     const RequestId id = fixture.request(9);
     fixture.end(id, Outcome::server_error);
     EXPECT_EQ(fixture.attempt_count(id), 1U);
@@ -315,7 +315,7 @@
 
 TEST(Idempotency, AnIdempotentRequestIsRetriedAfterAnyFailure) {
     for (const Outcome outcome : {Outcome::server_error, Outcome::connection_reset, Outcome::overloaded}) {
-        Rig fixture = three_endpoints(make_class(Idempotency::idempotent));
+        BalancerFixture fixture = three_endpoints(make_class(Idempotency::idempotent));
         const RequestId id = fixture.request();
         fixture.end(id, outcome);
         EXPECT_EQ(fixture.attempt_count(id), 2U);
@@ -323,8 +323,9 @@
 }
 
 TEST(Idempotency, ARetryWithAKeyStaysInItsZoneAndWindow) {
-    Rig fixture(make_settings({make_class(Idempotency::idempotent_with_key, DedupScope::zone, 300)}));
-    fixture.list(EndpointUpdateKind::full, make_servers(9));
+    BalancerFixture fixture(
+        make_settings({make_class(Idempotency::idempotent_with_key, DedupScope::zone, 300)}));
+    fixture.list(EndpointUpdateKind::full, make_endpoints(9));
     for (int i = 0; i < 30; ++i) {
         const RequestId id = fixture.request();
         const EndpointId first = fixture.endpoint_of(id);
@@ -334,7 +335,7 @@
         } else {
             EXPECT_EQ(fixture.attempt_count(id), 1U) << "the deduplication window has expired";
         }
-        while (fixture.out(id)) fixture.end(id, Outcome::success, 1);
+        while (fixture.in_flight(id)) fixture.end(id, Outcome::success, 1);
     }
 }
 
@@ -343,29 +344,30 @@
 TEST(Idempotency, ARequestWithAKeyIsNotRetriedAtTheEndOfItsWindow) {
     constexpr Millis kWindow = 2000, kHeldUp = 150;
     for (const Millis before_the_end : {kHeldUp - 10, kHeldUp + 10}) {
-        Rig fixture(make_settings({make_class(Idempotency::idempotent_with_key, DedupScope::all, kWindow)}));
-        fixture.list(EndpointUpdateKind::full, make_servers(9));
+        BalancerFixture fixture(
+            make_settings({make_class(Idempotency::idempotent_with_key, DedupScope::all, kWindow)}));
+        fixture.list(EndpointUpdateKind::full, make_endpoints(9));
         const RequestId id = fixture.request(0, 2 * kWindow);
         fixture.end(id, Outcome::server_error, kWindow - before_the_end);
         EXPECT_EQ(fixture.attempt_count(id), before_the_end > kHeldUp ? 2U : 1U);
-        while (fixture.out(id)) fixture.end(id, Outcome::success, 1);
+        while (fixture.in_flight(id)) fixture.end(id, Outcome::success, 1);
     }
 }
 
 TEST(Idempotency, AfterAPossibleRunOnlyAKeyOfAllZonesAllowsRejection) {
     for (const DedupScope scope : {DedupScope::zone, DedupScope::all}) {
-        Rig fixture(make_settings({make_class(Idempotency::idempotent_with_key, scope)}));
-        fixture.list(EndpointUpdateKind::full, make_servers(1));
+        BalancerFixture fixture(make_settings({make_class(Idempotency::idempotent_with_key, scope)}));
+        fixture.list(EndpointUpdateKind::full, make_endpoints(1));
         const RequestId id = fixture.request(0, 300);
         fixture.end(id, Outcome::server_error, 10);
-        while (fixture.out(id)) fixture.end(id, Outcome::server_error, 10);
+        while (fixture.in_flight(id)) fixture.end(id, Outcome::server_error, 10);
         fixture.finish_all();
         EXPECT_EQ(fixture.requests.at(id).rejected, scope == DedupScope::all);
     }
 }
 
 TEST(EndpointSelection, ADrainingEndpointGetsNoRequests) {
-    Rig fixture = three_endpoints(make_class(Idempotency::idempotent));
+    BalancerFixture fixture = three_endpoints(make_class(Idempotency::idempotent));
     fixture.list(EndpointUpdateKind::incremental, {{1, 0, 0, EndpointState::draining, 0}});
     for (int i = 0; i < 50; ++i) {
         const RequestId id = fixture.request();
@@ -375,7 +377,7 @@
 }
 
 TEST(Deadlines, AQueuedRequestGetsItsFinalResponseInTime) {
-    Rig fixture(make_settings({make_class(Idempotency::not_idempotent)}));
+    BalancerFixture fixture(make_settings({make_class(Idempotency::not_idempotent)}));
     const RequestId id = fixture.request(0, 50);
     EXPECT_EQ(fixture.requests.at(id).final_responses, 0);
     fixture.finish_all();
--- a/tests/balancer/shared_evidence_test.cpp
+++ b/tests/balancer/shared_evidence_test.cpp
@@ -16,9 +16,10 @@
     return s;
 }
 
-struct FleetEvidenceFixture : Rig {
-    explicit FleetEvidenceFixture(bool evidence_shared = true) : Rig(evidence_settings(evidence_shared)) {
-        list(EndpointUpdateKind::full, make_servers(kServers));
+struct FleetEvidenceFixture : BalancerFixture {
+    explicit FleetEvidenceFixture(bool evidence_shared = true)
+        : BalancerFixture(evidence_settings(evidence_shared)) {
+        list(EndpointUpdateKind::full, make_endpoints(kServers));
     }
     void receive_evidence(std::vector<EndpointEvidence> servers) {
         handle_event(FleetEvidence{std::move(servers)});
@@ -37,9 +38,9 @@
     // Returns whether `server` was selected.
     bool send_until_selected(EndpointId server, Outcome outcome, int requests = 400) {
         for (int i = 0; i < requests; ++i) {
-            pass(20);
+            advance(20);
             const RequestId id = request();
-            if (!out(id)) continue;
+            if (!in_flight(id)) continue;
             const bool selected = endpoint_of(id) == server;
             end(id, selected ? outcome : Outcome::success, 10);
             if (selected) return true;
@@ -130,11 +131,11 @@
     for (EndpointId id = 1; id <= kServers; ++id) false_reports.push_back({id, 0, 200, 50, 50, 0, 0, 0, 0});
     for (int i = 0; i < 100; ++i) {
         fixture.receive_evidence(false_reports);
-        fixture.pass(100);
+        fixture.advance(100);
         EXPECT_LE(fixture.ejected(), kServers / 10);
     }
     EXPECT_EQ(fixture.ejected(), kServers / 10);
-    EXPECT_TRUE(fixture.out(fixture.request()));
+    EXPECT_TRUE(fixture.in_flight(fixture.request()));
 }
 
 TEST(SharedEvidence, OwnRecentSuccessesOverruleReportsOfPeers) {
@@ -172,7 +173,7 @@
     ASSERT_EQ(fixture.ejected(), 1U);
     EXPECT_FALSE(fixture.send_until_selected(server, Outcome::success, 300))
         << "no half-open trial within the backoff of 10 s";
-    fixture.pass(2000);
+    fixture.advance(2000);
     fixture.receive_evidence(std::vector<EndpointEvidence>{});
     ASSERT_TRUE(fixture.send_until_selected(server, Outcome::success));
     EXPECT_EQ(fixture.ejected(), 0U);
@@ -187,7 +188,7 @@
     ASSERT_EQ(fixture.ejected(), 1U);
     fixture.receive_evidence({{server, 5, 9, 5, 5, 0, /*recoveries=*/1, 0, 0}});
     EXPECT_EQ(fixture.ejected(), 1U) << "the sidecar's own half-open trial is still to come";
-    fixture.pass(2000);
+    fixture.advance(2000);
     EXPECT_TRUE(fixture.send_until_selected(server, Outcome::success, 200));
 }
 
@@ -195,7 +196,7 @@
     FleetEvidenceFixture fixture;
     fixture.receive_evidence(5, 5);
     ASSERT_EQ(fixture.ejected(), 1U);
-    auto restarted = make_servers(kServers);
+    auto restarted = make_endpoints(kServers);
     restarted[4].started_at = fixture.now;
     fixture.list(EndpointUpdateKind::full, restarted);
     EXPECT_EQ(fixture.ejected(), 0U);
@@ -215,7 +216,7 @@
     for (EndpointId id = 1; id <= kServers; ++id) all.push_back({id, 0, 0, 0, 0, 50, 0, 0, 0});
     fixture.receive_evidence(all);
     std::set<EndpointId> used;
-    for (int i = 0; i < 2000; ++i) fixture.pass(20), used.insert(fixture.send_one());
+    for (int i = 0; i < 2000; ++i) fixture.advance(20), used.insert(fixture.send_one());
     EXPECT_GE(used.size(), 5U);
 }
 
--- a/tests/proxy/drain_test.cpp
+++ b/tests/proxy/drain_test.cpp
@@ -100,7 +100,7 @@
 }
 
 // SIGKILL may come 3.7 s after SIGTERM, however long the deadlines are.
-TEST(Drain, LateRequestWithLongDeadlineIsAnsweredBeforeSigkill) {
+TEST(Drain, LateRequestWithLongDeadlineGetsResponseBeforeSigkill) {
     FakeServer server;
     Running sidecar(with_deadlines(a_config(kNoAddress, {host("s1", server.at())}), 10000));
     App app(sidecar.at);
--- a/tests/proxy/listener_test.cpp
+++ b/tests/proxy/listener_test.cpp
@@ -31,7 +31,7 @@
 }
 
 // A slow client's connection is evicted for a new one, but not if its whole request is in the kernel.
-TEST(ConnectionEviction, SparesConnectionWithCompleteUnreadRequest) {
+TEST(ConnectionEviction, DoesNotCloseConnectionWithCompleteUnreadRequest) {
     FakeServer server;
     SteppedSidecar sidecar(a_config(kNoAddress, {host("s1", server.at())}), {1, 1 << 20});
     App slow(sidecar.listener.endpoint());
--- a/tests/proxy/upstream_connection_test.cpp
+++ b/tests/proxy/upstream_connection_test.cpp
@@ -73,7 +73,7 @@
     EXPECT_EQ(other.seen().size(), 1u);
 }
 
-TEST(UpstreamConnection, TimeoutIsAnsweredByDeadlineAndClosesConnection) {
+TEST(UpstreamConnection, TimeoutGetsResponseByDeadlineAndClosesConnection) {
     std::promise<bool> closed;
     FakeServer server([&](Wire& wire, const HttpRequest&, int) {
         closed.set_value(wire.ended());
--- a/tests/recovery/recorded_bytes_test.cpp
+++ b/tests/recovery/recorded_bytes_test.cpp
@@ -69,7 +69,7 @@
     EXPECT_EQ(text_of(list.endpoints[1].address), "[::1]:9002");
     EXPECT_EQ(list.endpoints[1].state, EndpointState::draining);
     EXPECT_EQ(list.endpoints[2].name, "s3");
-    EXPECT_EQ(list.endpoints[2].state, EndpointState::gone);
+    EXPECT_EQ(list.endpoints[2].state, EndpointState::removed);
     EXPECT_EQ(list.endpoints[2].capacity_weight, 1);
 }
 
--- a/tests/replication/decode_fuzz.cpp
+++ b/tests/replication/decode_fuzz.cpp
@@ -34,7 +34,7 @@
     }
     for (Millis at = kNow; at < kNow + 3000; at = std::max(at + 1, replica.due())) replica.advance(at, out);
     for (const Outgoing& o : out)
-        if (o.bytes.size() > kMaxDatagramBytes || (o.to >= 40 && o.to != kAll) ||
+        if (o.bytes.size() > kMaxDatagramBytes || (o.to >= 40 && o.to != kAllMembers) ||
             std::holds_alternative<DecodeError>(decode(o.bytes)))
             std::abort();
     if (replica.records() > 40 * kMaxRecordsPerOrigin) std::abort();
--- a/tests/replication/recorded_datagrams_test.cpp
+++ b/tests/replication/recorded_datagrams_test.cpp
@@ -69,7 +69,7 @@
     const Bytes written = encode(c.datagram);
     recorded::expect_same(file_of(c.name), recorded::hex_of(written).append("\n"));
     const Bytes bytes = recorded::bytes_of_hex(recorded::read(file_of(c.name)));
-    EXPECT_TRUE(is_shared_state(bytes));
+    EXPECT_TRUE(is_replication_datagram(bytes));
     const auto read = decode(bytes);
     ASSERT_TRUE(std::holds_alternative<Datagram>(read)) << to_string(std::get<DecodeError>(read));
     const auto& datagram = std::get<Datagram>(read);
@@ -96,15 +96,15 @@
     settings.gossip_allowed = true;
     settings.sidecar_count = 160;
     settings.sidecar_index = 7;
-    test::Rig rig(settings);
-    auto servers = test::make_servers(20);
+    test::BalancerFixture rig(settings);
+    auto servers = test::make_endpoints(20);
     for (Endpoint& server : servers) server.id = 0x01020300 + server.id;
     rig.list(EndpointUpdateKind::full, servers);
     std::string lines;
     for (int i = 0; i < 12; ++i) {
-        rig.pass(700);
+        rig.advance(700);
         const RequestId id = rig.request();
-        if (!rig.out(id)) continue;
+        if (!rig.in_flight(id)) continue;
         rig.end(id, outcome, 100);
         for (const Action& action : rig.last)
             if (const auto* gossip = std::get_if<SendGossip>(&action)) {
@@ -136,7 +136,7 @@
         for (std::string peer, digits; lines >> peer >> digits; ++datagrams) {
             const Bytes bytes = recorded::bytes_of_hex(digits);
             EXPECT_EQ(bytes.size(), size) << name << " " << digits;
-            EXPECT_FALSE(is_shared_state(bytes));
+            EXPECT_FALSE(is_replication_datagram(bytes));
             EXPECT_TRUE(std::holds_alternative<DecodeError>(decode(bytes)));
         }
         EXPECT_GT(datagrams, 5u) << name;
@@ -176,7 +176,7 @@
         return text;
     }
     Replica& at(MemberId i) { return replicas_[i]; }
-    MemberId silent = kAll;
+    MemberId silent = kAllMembers;
 
 private:
     struct InFlight {
@@ -189,7 +189,7 @@
         append_number(static_cast<std::uint32_t>(datagram.bytes.size()));
         sent_.insert(sent_.end(), datagram.bytes.begin(), datagram.bytes.end());
         for (std::size_t to = 0; to < replicas_.size(); ++to)
-            if (to != from && (datagram.to == kAll || datagram.to == to))
+            if (to != from && (datagram.to == kAllMembers || datagram.to == to))
                 in_flight_.emplace(elapsed_ + kDelay,
                                    InFlight{from, static_cast<MemberId>(to), datagram.bytes});
     }
@@ -247,7 +247,7 @@
     fleet.act(4, publish(Versions{2, 0x1234, 1, 17})), fleet.run_for(1000), append_stage("versions");
     fleet.silent = kSilentMember, fleet.run_for(9000), append_stage("silent");
     EXPECT_EQ(fleet.at(0).member(kSilentMember).member_state().status, Status::dead);
-    fleet.silent = kAll, fleet.run_for(5000), append_stage("heard-again");
+    fleet.silent = kAllMembers, fleet.run_for(5000), append_stage("heard-again");
     EXPECT_EQ(fleet.at(0).member(kSilentMember).member_state().status, Status::alive);
     fleet.act(1, [](Replica& r, Millis now, auto& out) { r.leave(now, out); });
     fleet.run_for(2000), append_stage("one-left");
--- a/tests/support/balancer_fixture.hpp
+++ b/tests/support/balancer_fixture.hpp
@@ -32,14 +32,14 @@
     return s;
 }
 
-inline std::vector<Endpoint> make_servers(EndpointId count, Millis online_since = 0) {
+inline std::vector<Endpoint> make_endpoints(EndpointId count, Millis online_since = 0) {
     std::vector<Endpoint> servers;
     for (EndpointId i = 1; i <= count; ++i)
         servers.push_back({i, i % 3, i % 2, EndpointState::serving, online_since});
     return servers;
 }
 
-struct Rig {
+struct BalancerFixture {
     struct TrackedAttempt {
         EndpointId server;
         Millis sent_at;
@@ -69,7 +69,7 @@
     std::vector<std::string> logs;
     std::vector<Millis> retry_advice;  // retry_after of each rejection
 
-    explicit Rig(Settings s, std::uint64_t seed = 1)
+    explicit BalancerFixture(Settings s, std::uint64_t seed = 1)
         : settings(s), current_settings(std::make_shared<const Settings>(s)), balancer(std::move(s), seed) {}
 
     void change_settings(const Settings& s) {
@@ -86,7 +86,7 @@
 
     void list(EndpointUpdateKind kind, const std::vector<Endpoint>& infos) {
         if (kind != EndpointUpdateKind::incremental && kind != EndpointUpdateKind::failed)
-            for (auto& [id, s] : servers) s.state = EndpointState::gone;
+            for (auto& [id, s] : servers) s.state = EndpointState::removed;
         for (const Endpoint& s : infos) servers[s.id] = s;
         handle_event(EndpointUpdate{kind, infos});
     }
@@ -121,13 +121,14 @@
         return ids;
     }
     int count_in_flight(const std::vector<RequestId>& ids) const {
-        return static_cast<int>(std::count_if(ids.begin(), ids.end(), [&](RequestId id) { return out(id); }));
+        return static_cast<int>(
+            std::count_if(ids.begin(), ids.end(), [&](RequestId id) { return in_flight(id); }));
     }
     // After a delay, ends the attempts in flight of all these requests at once, with success.
     void complete_all(const std::vector<RequestId>& ids, Millis after) {
         now += after;
         for (const RequestId id : ids)
-            if (out(id)) end(id, Outcome::success, 0);
+            if (in_flight(id)) end(id, Outcome::success, 0);
     }
 
     // After a delay, ends the first attempt in flight of the request.
@@ -151,7 +152,7 @@
     }
 
     // Advances the clock; fires the timers that expire and ends attempts at their give_up_at as timed out.
-    void pass(Millis span) {
+    void advance(Millis span) {
         const Millis until = now + span;
         for (;;) {
             Millis next = until;
@@ -177,14 +178,14 @@
     }
 
     bool is_ended(const TrackedRequest& r) const { return r.final_responses > 0 || r.client_disconnected; }
-    bool out(RequestId id) const {
+    bool in_flight(RequestId id) const {
         const auto& attempts = requests.at(id).attempts;
         return std::any_of(attempts.begin(), attempts.end(),
                            [](const TrackedAttempt& s) { return s.in_flight; });
     }
     EndpointId endpoint_of(RequestId id) const { return requests.at(id).attempts.back().server; }
     std::size_t attempt_count(RequestId id) const { return requests.at(id).attempts.size(); }
-    auto ejection_count() const { return std::count(logs.begin(), logs.end(), "removed from the pool"); }
+    auto ejection_count() const { return std::count(logs.begin(), logs.end(), "ejected from the pool"); }
     template <class T>
     int count() const {
         return static_cast<int>(
@@ -258,7 +259,7 @@
     // Advances the clock past all deadlines and checks that every request has ended with exactly one final
     // response, unless its client disconnected.
     void finish_all() {
-        pass(60000);
+        advance(60000);
         for (const auto& [id, r] : requests)
             EXPECT_TRUE(is_ended(r)) << "rule 1: request " << id << " has no final response";
         EXPECT_EQ(balancer.usage().requests, 0U);
--- a/tests/support/stepped_sidecar.hpp
+++ b/tests/support/stepped_sidecar.hpp
@@ -31,7 +31,7 @@
           listener(io, clock, driver, limits) {
         listener.listen({asio::ip::make_address("127.0.0.1"), 0});
         driver.start();
-        listener.open_for_use();
+        listener.mark_ready();
         turn();
     }
     static ConfigSnapshotPtr snapshot_of(const json& config, std::uint64_t version) {
