--- a/bench/guarantee_rows.py
+++ b/bench/guarantee_rows.py
@@ -706,7 +706,7 @@
         "a lowered connection limit waits for the responses",
         [Edit(POOL, "if (keep && open_ <= limits_.connections)", "if (keep)")],
         PROCESS_TESTS,
-        "ConfigChange.ALimitLoweredBelowWhatIsInUseCutsNoRequest",
+        "ConfigChange.LimitLoweredBelowUseEndsNoRequest",
     ),
     Guarantee(
         "a new configuration retains what was learnt about servers",
--- a/tests/control/config_candidate_test.cpp
+++ b/tests/control/config_candidate_test.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 TEST(Candidate, AllErrorsAreReportedWithTheirPaths) {
-    json config = everything();
+    json config = full_config();
     config.erase("name");
     config["discovery"] = 7;
     config["limits"]["sockets"] = 5;
@@ -30,7 +30,7 @@
 }
 
 TEST(Candidate, FixedFieldsMayNotChangeAndStartOnlyOnesAreIgnored) {
-    json config = everything();
+    json config = full_config();
     config["ochregrade"]["admin"]["listen"] = "127.0.0.1:0";
     const Config running = read_config(config);
     json next = config;
@@ -52,16 +52,16 @@
 }
 
 TEST(Candidate, UnknownFieldsAreToleratedInTheFileAndRejectedFromOperators) {
-    const Config running = read_config(everything());
-    json next = everything();
+    const Config running = read_config(full_config());
+    json next = full_config();
     next["settings"]["clases"] = 1;
     EXPECT_EQ(read_candidate(next, running, false).document, running.document);
     EXPECT_EQ(errors_of([&] { read_candidate(next, running, true); }),
               (std::vector<std::string>{"settings.clases is not known"}));
 }
 
-TEST(Candidate, ReportsWhatShouldBeAnObject) {
-    json config = everything();
+TEST(Candidate, ValuesThatAreNoObjectsAreReported) {
+    json config = full_config();
     config["limits"] = 5;
     config["ochregrade"] = json::array();
     config["settings"]["rules"] = "strict";
@@ -72,8 +72,8 @@
 
 // The platform's file has undocumented top-level fields, such as admin. They must not be read as fields of
 // the section ochregrade that have the same name.
-TEST(Candidate, FieldsOfThePlatformsOwnAreLeftAlone) {
-    json config = everything();
+TEST(Candidate, PlatformFieldsAreIgnored) {
+    json config = full_config();
     config["admin"] = "127.0.0.1:80";
     config["trial"] = 7;
     config["state"] = json::array();
@@ -82,8 +82,8 @@
 
 // A damaged file results in either a configuration or validation errors, never in another exception.
 TEST(Candidate, RandomDamageEndsInErrorsWithPaths) {
-    const Config running = read_config(everything());
-    const std::string good = everything().dump();
+    const Config running = read_config(full_config());
+    const std::string good = full_config().dump();
     std::uint64_t state = 7;
     const auto roll = [&](std::size_t n) {
         state = state * 6364136223846793005u + 1442695040888963407u;
--- a/tests/control/config_file_test.cpp
+++ b/tests/control/config_file_test.cpp
@@ -15,22 +15,22 @@
     return config;
 }
 
-TEST(FormerSection, IsReadAsThePresentOne) {
-    const std::string text = under_former_name(everything()).dump();
+TEST(FormerSection, IsReadAsPresentSection) {
+    const std::string text = under_former_name(full_config()).dump();
     const Config config = read_config(parse_config(text, "the file"));
     EXPECT_EQ(config.canary.duration, 5000);
-    EXPECT_EQ(config.document, read_config(everything()).document);
+    EXPECT_EQ(config.document, read_config(full_config()).document);
 }
 
-TEST(FormerSection, BesideThePresentOneIsAnError) {
-    json config = everything();
+TEST(FormerSection, TogetherWithPresentSectionIsAnError) {
+    json config = full_config();
     config[kFormerSection] = config[kOwnSection];
     EXPECT_EQ(errors_of([&] { parse_config(config.dump(), "the file"); }),
               std::vector<std::string>{"the file has both ochregrade and cobaltshift, its former name"});
 }
 
-TEST(ConfigurationFile, OneThatIsReplacedWhileItIsReadIsOneOrTheOther) {
-    json config = everything();
+TEST(ConfigurationFile, ReadDuringReplacementReturnsEitherText) {
+    json config = full_config();
     const std::string one = config.dump();
     config["name"] = std::string(50000, 'n');
     const std::string other = config.dump();
@@ -49,8 +49,8 @@
     EXPECT_EQ(wrong, 0);
 }
 
-TEST(ConfigurationFile, IsOverriddenByVariablesButNotWhereDiscoveryMoves) {
-    json config = everything();
+TEST(ConfigurationFile, VariablesOverrideTheFileExceptDiscoveryOnReload) {
+    json config = full_config();
     ConfigFile file(config.dump());
     ::setenv("NODE_NAME", "n9", 1);
     ::setenv("NODE_DISCOVERY", "127.0.0.1:77", 1);
--- a/tests/control/config_fixture.hpp
+++ b/tests/control/config_fixture.hpp
@@ -10,7 +10,7 @@
 namespace ochregrade::sidecar {
 
 // A valid configuration that contains most of the fields.
-inline json everything() {
+inline json full_config() {
     json config = a_config("127.0.0.1:1", {host("s1", "127.0.0.1:2")});
     config["limits"] = {{"sockets", 512}, {"memory_mb", 64}, {"cores", 0.5}};
     config["peer_listen"] = "127.0.0.1:7946";
--- a/tests/control/config_schema_test.cpp
+++ b/tests/control/config_schema_test.cpp
@@ -9,7 +9,7 @@
 namespace ochregrade::sidecar {
 namespace {
 
-TEST(Fields, TheDocsSayWhatTheTableSays) {
+TEST(Fields, DocumentationContainsTheTable) {
     std::ifstream file(OCHREGRADE_DOCS "/CONFIGURATION.md");
     std::stringstream text;
     text << file.rdbuf();
@@ -17,8 +17,8 @@
         << "copy the output of ochregrade --fields into docs/CONFIGURATION.md";
 }
 
-TEST(Fields, UnknownOnesAreNamedByTheirPath) {
-    json config = everything();
+TEST(Fields, UnknownFieldsAreReportedByPath) {
+    json config = full_config();
     EXPECT_EQ(unknown_fields(config), std::vector<std::string>{});
     config["setings"] = 1;
     config["limits"]["socket"] = 5;
@@ -30,8 +30,8 @@
     EXPECT_EQ(unknown_fields(config).size(), 4u) << "fields below known belong to discovery";
 }
 
-TEST(Fields, AVersionLeavesOutStartOnlyFields) {
-    const json kept = version_document(everything());
+TEST(Fields, VersionsOmitStartOnlyFields) {
+    const json kept = version_document(full_config());
     EXPECT_FALSE(kept.contains("seed"));
     EXPECT_FALSE(kept.contains("known"));
     EXPECT_EQ(kept.at("settings").at("classes").size(), 3u);
--- a/tests/control/config_versions_test.cpp
+++ b/tests/control/config_versions_test.cpp
@@ -29,7 +29,7 @@
 
 const CanaryRule kCanaryRule{5000, 0.05, 20};
 
-TEST(Canary, OneThatServesAsWellIsGood) {
+TEST(Canary, PassesIfShareServedDoesNotFall) {
     VersionsFixture fixture;
     fixture.answers(90, 10);
     const auto next = fixture.commit(Source::operators, 0, kCanaryRule);
@@ -41,7 +41,7 @@
     EXPECT_EQ(fixture.state(next), State::good);
 }
 
-TEST(Canary, OneThatServesLessIsRolledBackAsSoonAsThatIsKnown) {
+TEST(Canary, IsRolledBackOnceEnoughSamplesShowAFall) {
     VersionsFixture fixture;
     fixture.answers(100, 0);
     const auto next = fixture.commit(Source::operators, 0, kCanaryRule);
@@ -59,7 +59,7 @@
     EXPECT_FALSE(fixture.versions.due(fixture.now + 1e6));
 }
 
-TEST(Canary, IsJudgedByItsOwnRequestsOnly) {
+TEST(Canary, IsEvaluatedByItsOwnRequestsOnly) {
     VersionsFixture fixture;
     fixture.answers(100, 0);
     const auto next = fixture.commit(Source::operators, 0, kCanaryRule);
@@ -69,7 +69,7 @@
     EXPECT_EQ(fixture.state(next), State::good);
 }
 
-TEST(Canary, NoDataIsNotHealth) {
+TEST(Canary, FailsWithoutEnoughSamples) {
     VersionsFixture fixture;
     fixture.answers(100, 0);
     fixture.commit(Source::file, 0, kCanaryRule);
@@ -79,14 +79,14 @@
     EXPECT_TRUE(fixture.versions.due(fixture.now + 20000)) << "the extension is limited";
 }
 
-TEST(Canary, WithoutAnswersBeforeItIsHeldToAll) {
+TEST(Canary, WithoutBaselineIsComparedWithFullShare) {
     VersionsFixture fixture;
     fixture.commit(Source::file, 0, kCanaryRule);
     fixture.answers(18, 2);
     EXPECT_TRUE(fixture.versions.due(fixture.now));
 }
 
-TEST(Canary, LastsNoLessThanTheLongestDeadline) {
+TEST(Canary, LastsAtLeastTheLongestDeadline) {
     VersionsFixture fixture;
     fixture.answers(100, 0);
     const auto next = fixture.commit(Source::file, 0, {10, 0.05, 20});
@@ -95,7 +95,7 @@
     EXPECT_EQ(fixture.state(next), State::canary);
 }
 
-TEST(Canary, AnotherVersionDuringItLeavesTheLastGoodOneAsFallback) {
+TEST(Canary, SupersededCanaryLeavesLastGoodVersionAsFallback) {
     VersionsFixture fixture;
     fixture.answers(100, 0);
     const auto second = fixture.commit(Source::operators, 0, kCanaryRule);
@@ -115,7 +115,7 @@
     EXPECT_FALSE(fixture.versions.canary()) << "the target was already found good";
 }
 
-TEST(Rollback, TwiceGoesTwoBackAndNoFurtherThanThereIs) {
+TEST(Rollback, RepeatedRollbacksReturnToOlderVersions) {
     VersionsFixture fixture;
     fixture.commit(Source::operators);
     fixture.commit(Source::operators);
@@ -126,7 +126,7 @@
     EXPECT_EQ(fixture.versions.previous(), nullptr);
 }
 
-TEST(Rollback, SkipsWhatWasRolledBackOrNeverProven) {
+TEST(Rollback, SkipsVersionsNotFoundGood) {
     VersionsFixture fixture;
     fixture.commit(Source::operators, 0, kCanaryRule);  // 2, superseded
     fixture.commit(Source::operators);                  // 3
@@ -136,7 +136,7 @@
     EXPECT_EQ(fixture.versions.previous()->number(), 1u);
 }
 
-TEST(ConfigVersions, TheLastOnesAreRetainedAndTheFallbackOfACanary) {
+TEST(ConfigVersions, NewestVersionsAndCanaryFallbackAreRetained) {
     VersionsFixture fixture;
     for (int i = 0; i < 20; ++i) fixture.commit(Source::operators, 0, kCanaryRule);
     EXPECT_EQ(fixture.versions.retained().size(), ConfigVersions::kMaxRetained);
--- a/tests/control/operator_endpoint_test.cpp
+++ b/tests/control/operator_endpoint_test.cpp
@@ -5,12 +5,12 @@
 namespace {
 
 TEST(OperatorEndpoint, IsOffByDefault) {
-    Running sidecar(a_config(kNowhere, {}));
+    Running sidecar(a_config(kUnusedAddress, {}));
     EXPECT_FALSE(sidecar.in_loop([&] { return sidecar.node().admin_endpoint().has_value(); }));
 }
 
-TEST(OperatorEndpoint, SaysWhatIsWrongWithACall) {
-    const json config = with_admin(a_config(kNowhere, {host("s1", kNowhere)}));
+TEST(OperatorEndpoint, InvalidRequestsGetAnErrorStatus) {
+    const json config = with_admin(a_config(kUnusedAddress, {host("s1", kUnusedAddress)}));
     Running sidecar(config);
     const auto status = [&](const std::string& method, const std::string& target,
                             const std::string& body = "") {
@@ -43,15 +43,15 @@
     EXPECT_EQ(ops.get("/v1/config").at("generation"), 1);
 }
 
-TEST(OperatorEndpoint, ADryRunSaysWhatWouldChangeAndChangesNothing) {
-    json config = with_admin(a_config(kNowhere, {host("s1", kNowhere)}));
+TEST(OperatorEndpoint, DryRunReportsChangesWithoutApplyingThem) {
+    json config = with_admin(a_config(kUnusedAddress, {host("s1", kUnusedAddress)}));
     Running sidecar(config);
     Operator ops(sidecar.admin);
     const json before = ops.get("/v1/status");
     config["settings"]["limits"]["max-attempts"] = 2;
-    const json said = ops.post("/v1/config?dry_run=1", config);
-    EXPECT_EQ(said.at("result"), "sound");
-    EXPECT_EQ(said.at("changes"), json::array({"replace /settings/limits/max-attempts"}));
+    const json response = ops.post("/v1/config?dry_run=1", config);
+    EXPECT_EQ(response.at("result"), "sound");
+    EXPECT_EQ(response.at("changes"), json::array({"replace /settings/limits/max-attempts"}));
     EXPECT_EQ(ops.get("/v1/status").at("generation"), before.at("generation"));
     config["limits"]["sockets"] = 1u << 30;
     EXPECT_EQ(ops.post("/v1/config?dry_run=1", config, 422).at("complaints").at(0).at("field"),
@@ -59,8 +59,8 @@
     EXPECT_EQ(ops.get("/v1/status").at("changes").at("refused"), 0);
 }
 
-TEST(OperatorEndpoint, WhatItGivesItTakes) {
-    Running sidecar(with_admin(a_config(kNowhere, {host("s1", kNowhere)})));
+TEST(OperatorEndpoint, AcceptsTheConfigurationThatItReturned) {
+    Running sidecar(with_admin(a_config(kUnusedAddress, {host("s1", kUnusedAddress)})));
     Operator ops(sidecar.admin);
     json config = ops.get("/v1/config").at("config");
     EXPECT_EQ(ops.post("/v1/config", config).at("result"), "unchanged");
@@ -72,7 +72,7 @@
 // value.
 TEST(OperatorEndpoint, MetricsAreInThePrometheusTextFormat) {
     FakeServer server;
-    Running sidecar(with_admin(a_config(kNowhere, {host("s1", server.at())})));
+    Running sidecar(with_admin(a_config(kUnusedAddress, {host("s1", server.at())})));
     for (int i = 0; i < 3; ++i) ASSERT_EQ(ask(sidecar.at, "listen"), 200u);
     Operator ops(sidecar.admin);
     const HttpResponse r = ops.call("GET", "/metrics");
@@ -98,8 +98,8 @@
     EXPECT_EQ(values.at("ochregrade_servers"), 1);
 }
 
-TEST(OperatorEndpoint, OutlivesNoiseAndCallersThatSayNothing) {
-    Running sidecar(with_admin(a_config(kNowhere, {host("s1", kNowhere)})));
+TEST(OperatorEndpoint, ServesDespiteRandomBytesAndSilentConnections) {
+    Running sidecar(with_admin(a_config(kUnusedAddress, {host("s1", kUnusedAddress)})));
     std::vector<std::unique_ptr<App>> silent;
     silent.reserve(30);
     for (int i = 0; i < 30; ++i) silent.push_back(std::make_unique<App>(sidecar.admin));
--- a/tests/process/canary_watch_test.cpp
+++ b/tests/process/canary_watch_test.cpp
@@ -6,13 +6,13 @@
 
 TEST(CanaryWatch, RollsBackAVersionThatRejectsRequests) {
     FakeServer server;
-    const json config = with_admin(a_config(kNowhere, {host("s1", server.at())}));
+    const json config = with_admin(a_config(kUnusedAddress, {host("s1", server.at())}));
     Running sidecar(config);
     Operator ops(sidecar.admin);
     for (int i = 0; i < 30; ++i) ASSERT_EQ(ask(sidecar.at, "listen"), 200u);
-    const json said =
+    const json response =
         ops.post("/v1/config?bake_ms=60000&margin=0.1&min_samples=10", without_class(config, "listen"));
-    EXPECT_EQ(said.at("trial").at("falls_back_to"), 1);
+    EXPECT_EQ(response.at("trial").at("falls_back_to"), 1);
     // A request class that is unknown under both versions is no evidence against the canary.
     for (int i = 0; i < 20; ++i) EXPECT_EQ(ask(sidecar.at, "nothing"), 400u);
     EXPECT_EQ(ops.get("/v1/config").at("state"), "on trial");
@@ -24,9 +24,9 @@
     EXPECT_EQ(history[2].at("content_of"), 1);
 }
 
-TEST(CanaryWatch, KeepsAVersionThatIsNoWorse) {
+TEST(CanaryWatch, KeepsVersionThatServesTheSameShare) {
     FakeServer server;
-    json config = with_admin(a_config(kNowhere, {host("s1", server.at())}));
+    json config = with_admin(a_config(kUnusedAddress, {host("s1", server.at())}));
     for (auto& c : config["settings"]["classes"]) c["give-up-ms"] = 100;
     config["ochregrade"]["trial"] = {{"bake_ms", 1500}, {"min_samples", 10}};
     ConfigFile file(config.dump());
--- a/tests/process/config_manager_test.cpp
+++ b/tests/process/config_manager_test.cpp
@@ -134,8 +134,8 @@
     Running sidecar(config);
     Operator ops(sidecar.admin);
     const auto rejected = [&](const json& candidate) {
-        const json said = ops.post("/v1/config", candidate, 422);
-        return said.dump().find("ochregrade.epoch") != std::string::npos;
+        const json response = ops.post("/v1/config", candidate, 422);
+        return response.dump().find("ochregrade.epoch") != std::string::npos;
     };
     json next = without_class(config, "listen");
     EXPECT_TRUE(rejected(next)) << "the epoch in force has other settings";
@@ -156,7 +156,7 @@
     EXPECT_EQ(ops.post("/v1/config", next).at("result"), "applied");
 }
 
-TEST(Epochs, OneForAnotherPartOfTheFleetIsOnlyStaged) {
+TEST(Epochs, EpochOutsideRolloutShareIsStaged) {
     FakeServer server;
     FakeDiscovery discovery;
     json config = with_admin(a_config(discovery.at(), {host("s1", server.at())}));
--- a/tests/process/config_reloader_test.cpp
+++ b/tests/process/config_reloader_test.cpp
@@ -6,7 +6,7 @@
 
 TEST(Reload, AppliesTheWholeFileAndMergesRepeatedSignals) {
     FakeServer server;
-    json config = with_admin(a_config(kNowhere, {host("s1", server.at())}));
+    json config = with_admin(a_config(kUnusedAddress, {host("s1", server.at())}));
     ConfigFile file(config.dump());
     Running sidecar(config);
     Operator ops(sidecar.admin);
@@ -32,7 +32,7 @@
 // The signal arrives while the file is partly written, and no second signal follows when the file is
 // complete.
 TEST(Reload, AFileThatIsBeingWrittenIsReadAgain) {
-    json config = with_admin(a_config(kNowhere, {host("s1", kNowhere)}));
+    json config = with_admin(a_config(kUnusedAddress, {host("s1", kUnusedAddress)}));
     ConfigFile file(config.dump());
     Running sidecar(config);
     Operator ops(sidecar.admin);
--- a/tests/process/config_resources_test.cpp
+++ b/tests/process/config_resources_test.cpp
@@ -8,7 +8,7 @@
 
 TEST(ConfigChange, WithoutADescriptorForItsSocketChangesNothing) {
     FakeServer server;
-    json config = with_admin(a_config(kNowhere, {host("s1", server.at())}));
+    json config = with_admin(a_config(kUnusedAddress, {host("s1", server.at())}));
     config["settings"]["limits"]["may-tell"] = true;
     Running sidecar(config);
     Operator ops(sidecar.admin);
@@ -27,22 +27,22 @@
     ::close(top);
     limit.rlim_cur = static_cast<rlim_t>(top);  // the next descriptor would reach the limit
     ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &limit), 0);
-    const json said = ops.post("/v1/config", next, 422);
+    const json response = ops.post("/v1/config", next, 422);
     limit.rlim_cur = was;
     setrlimit(RLIMIT_NOFILE, &limit);
-    EXPECT_EQ(said.at("complaints").at(0).at("field"), "peer_listen") << said;
+    EXPECT_EQ(response.at("complaints").at(0).at("field"), "peer_listen") << response;
     EXPECT_EQ(ops.get("/v1/config"), before);
     EXPECT_EQ(ops.post("/v1/config", next).at("generation"), 2) << "applied once a descriptor is free";
 }
 
-TEST(ConfigChange, ALimitLoweredBelowWhatIsInUseCutsNoRequest) {
+TEST(ConfigChange, LimitLoweredBelowUseEndsNoRequest) {
     std::promise<void> go;
     std::shared_future<void> gone = go.get_future().share();
     FakeServer server([&](Wire& wire, const HttpRequest&, int) {
         gone.wait();
         return wire.respond(200, "fine"), true;
     });
-    json config = with_admin(a_config(kNowhere, {host("s1", server.at())}));
+    json config = with_admin(a_config(kUnusedAddress, {host("s1", server.at())}));
     Running sidecar(config);
     Operator ops(sidecar.admin);
     std::vector<std::unique_ptr<App>> apps;
@@ -72,12 +72,12 @@
         gone.wait();
         return wire.respond(200, "fine"), true;
     });
-    json config = with_admin(a_config(kNowhere, {host("s1", server.at())}));
+    json config = with_admin(a_config(kUnusedAddress, {host("s1", server.at())}));
     for (auto& c : config["settings"]["classes"]) c["give-up-ms"] = 2000;
     Running sidecar(config);
     Operator ops(sidecar.admin);
-    App held(sidecar.at);
-    held.wire.write(App::request("deposit"));
+    App pending(sidecar.at);
+    pending.wire.write(App::request("deposit"));
     ASSERT_TRUE(server.wait_for(1));
     std::promise<void> done;
     const auto start = steady_clock::now();
@@ -91,8 +91,8 @@
         late = std::make_unique<App>(sidecar.at);
         late->wire.write(App::request("deposit"));
     }
-    EXPECT_EQ(held.answer().result_int(), 502u) << "at its own deadline";
-    held.wire.socket.close();
+    EXPECT_EQ(pending.answer().result_int(), 502u) << "at its own deadline";
+    pending.wire.socket.close();
     if (early) {
         EXPECT_EQ(late->answer().result_int(), 502u)
             << "the late request must get a response before the drain ends";
@@ -105,7 +105,7 @@
 }
 
 // Gossip must use the peer indices and the addresses of the configuration in force.
-TEST(ConfigChange, MayRenumberAndMovePeers) {
+TEST(ConfigChange, MayChangePeerIndicesAndAddresses) {
     asio::io_context io(1);
     const udp::endpoint any(asio::ip::make_address("127.0.0.1"), 0);
     udp::socket a(io, any), b(io, any);
@@ -114,25 +114,25 @@
         udp::socket probe(io, any);
         at = text_of(probe.local_endpoint());
     }
-    json config = with_admin(a_config(kNowhere, {host("s1", kNowhere)}));
+    json config = with_admin(a_config(kUnusedAddress, {host("s1", kUnusedAddress)}));
     config["settings"]["limits"]["may-tell"] = true;
     config["peer_listen"] = own[0];
     config["peers"] = {own[0], text_of(a.local_endpoint()), text_of(b.local_endpoint())};
     Running sidecar(config);
     Operator ops(sidecar.admin);
-    const auto tell = [&](std::uint32_t to) {
+    const auto send = [&](std::uint32_t to) {
         sidecar.in_loop([&] {
             sidecar.node().peers()->send(to, {1, 2, 3});
             return 0;
         });
     };
     std::array<std::uint8_t, 16> bytes{};
-    tell(1);
+    send(1);
     EXPECT_EQ(a.receive(asio::buffer(bytes)), 3u);
     config["peer_listen"] = own[1];
     config["peers"] = {text_of(b.local_endpoint()), own[1]};
     ops.post("/v1/config", config);
-    tell(0);
+    send(0);
     udp::endpoint from;
     EXPECT_EQ(b.receive_from(asio::buffer(bytes), from), 3u);
     EXPECT_EQ(text_of(from), own[1]) << "sent from the new address";
--- a/tests/process/config_under_load_test.cpp
+++ b/tests/process/config_under_load_test.cpp
@@ -88,9 +88,9 @@
 
 // If a request were handled under a mixture of two configurations, a request that is not idempotent could be
 // retried, or a valid request rejected. Each request must get one response, under one configuration.
-TEST(UnderLoad, NoRequestIsLostOrAnsweredTwiceOrJudgedByAMixture) {
+TEST(UnderLoad, EachRequestGetsOneResponseUnderOneConfiguration) {
     CountingServer server;
-    const json one = with_admin(a_config(kNowhere, {host("s1", server.at())}));
+    const json one = with_admin(a_config(kUnusedAddress, {host("s1", server.at())}));
     const json other = reversed(one);
     Running sidecar(one);
     Clients clients(sidecar.at);
--- a/tests/process/discovery_restart_test.cpp
+++ b/tests/process/discovery_restart_test.cpp
@@ -5,7 +5,7 @@
 namespace {
 
 // A single list with a lower number may be a late response. Only repeated lower numbers mean a restart.
-TEST(DiscoveryRestart, IsFollowedOnceItLasts) {
+TEST(DiscoveryRestart, IsFollowedAfterRepeatedLowerNumbers) {
     FakeServer first, second;
     FakeDiscovery discovery;
     Running sidecar(a_config(discovery.at(), {host("s1", first.at())}));
--- a/tests/process/node_fixture.hpp
+++ b/tests/process/node_fixture.hpp
@@ -12,7 +12,7 @@
 using std::chrono::steady_clock;
 
 // An address on which no process listens.
-inline const std::string kNowhere = "127.0.0.1:1";
+inline const std::string kUnusedAddress = "127.0.0.1:1";
 
 inline json with_admin(json config) {
     config["ochregrade"]["admin"]["listen"] = "127.0.0.1:0";
--- a/tests/process/recorded_http_test.cpp
+++ b/tests/process/recorded_http_test.cpp
@@ -11,7 +11,7 @@
 namespace ochregrade::sidecar {
 namespace {
 
-const std::string kNowhere = "127.0.0.1:1";
+const std::string kUnusedAddress = "127.0.0.1:1";
 
 bool only_digits(std::string_view text) {
     return std::all_of(text.begin(), text.end(), [](char c) { return c >= '0' && c <= '9'; });
@@ -160,7 +160,7 @@
 TEST_P(RecordedExchange, HasTheSameBytesToServerAndClient) {
     const Exchange& exchange = GetParam();
     ByteServer server(exchange.answer);
-    Running sidecar(a_config(kNowhere, {host("s1", server.at())}));
+    Running sidecar(a_config(kUnusedAddress, {host("s1", server.at())}));
     const std::string answer = ask(sidecar.at, exchange.request);
     expect_recorded(std::string(exchange.name) + "-to-client", answer);
     expect_recorded(std::string(exchange.name) + "-to-server", joined(server.wait_for(1)));
@@ -194,66 +194,67 @@
 
 // ---- Responses of the sidecar itself ----------------------------------------------------------------------
 
-struct Misfit {
+struct InvalidRequest {
     const char* name;
     std::string request;
     const char* status;  // of the response
 };
-std::ostream& operator<<(std::ostream& out, const Misfit& misfit) { return out << misfit.name; }
+std::ostream& operator<<(std::ostream& out, const InvalidRequest& request) { return out << request.name; }
 
-class RecordedMisfit : public testing::TestWithParam<Misfit> {};
+class RecordedInvalidRequest : public testing::TestWithParam<InvalidRequest> {};
 
-TEST_P(RecordedMisfit, GetsTheSameBytes) {
-    Running sidecar(a_config(kNowhere, {host("s1", kNowhere)}));
+TEST_P(RecordedInvalidRequest, GetsTheSameBytes) {
+    Running sidecar(a_config(kUnusedAddress, {host("s1", kUnusedAddress)}));
     const std::string answer = ask(sidecar.at, GetParam().request);
     EXPECT_EQ(answer.substr(0, 13), std::string("HTTP/1.1 ") + GetParam().status + " ");
     expect_recorded(std::string("misfit-") + GetParam().name, answer);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    All, RecordedMisfit,
+    All, RecordedInvalidRequest,
     testing::Values(
-        Misfit{"no_class", replaced(kGet, "X-Service-Class: listen\r\n", ""), "400"},
-        Misfit{"unknown_class", replaced(kGet, "X-Service-Class: listen", "X-Service-Class: x"), "400"},
-        Misfit{"no_name", replaced(kGet, "X-Correlation-Id: 9b1f-1\r\n", ""), "400"},
-        Misfit{"time_without_unit", replaced(kGet, "25000m", "25000"), "400"},
-        Misfit{"no_key", replaced(kPostByKey, "Idempotency-Key: 5c0f\r\n", ""), "400"},
-        Misfit{"body_behind_a_fault", replaced(kPost, "25000m", "x"), "400"},
-        Misfit{"noise", "\x01\x02 noise\r\n\r\n", "400"},
-        Misfit{"method_of_the_class", replaced(kGet, "GET", "POST"), "405"},
-        Misfit{"unknown_method", replaced(kGet, "GET", "DELETE"), "405"},
-        Misfit{"half_a_request", kPostHead, "408"},
-        Misfit{"long_body", replaced(kPost, "Content-Length: 9", "Content-Length: 70000"), "413"},
-        Misfit{"long_head", replaced(kGet, "X-Hop: 1", "X-Hop: " + std::string(17000, 'h')), "431"},
-        Misfit{"older_protocol", replaced(kGet, "HTTP/1.1", "HTTP/1.0"), "505"}),
+        InvalidRequest{"no_class", replaced(kGet, "X-Service-Class: listen\r\n", ""), "400"},
+        InvalidRequest{"unknown_class", replaced(kGet, "X-Service-Class: listen", "X-Service-Class: x"),
+                       "400"},
+        InvalidRequest{"no_name", replaced(kGet, "X-Correlation-Id: 9b1f-1\r\n", ""), "400"},
+        InvalidRequest{"time_without_unit", replaced(kGet, "25000m", "25000"), "400"},
+        InvalidRequest{"no_key", replaced(kPostByKey, "Idempotency-Key: 5c0f\r\n", ""), "400"},
+        InvalidRequest{"body_behind_a_fault", replaced(kPost, "25000m", "x"), "400"},
+        InvalidRequest{"noise", "\x01\x02 noise\r\n\r\n", "400"},
+        InvalidRequest{"method_of_the_class", replaced(kGet, "GET", "POST"), "405"},
+        InvalidRequest{"unknown_method", replaced(kGet, "GET", "DELETE"), "405"},
+        InvalidRequest{"half_a_request", kPostHead, "408"},
+        InvalidRequest{"long_body", replaced(kPost, "Content-Length: 9", "Content-Length: 70000"), "413"},
+        InvalidRequest{"long_head", replaced(kGet, "X-Hop: 1", "X-Hop: " + std::string(17000, 'h')), "431"},
+        InvalidRequest{"older_protocol", replaced(kGet, "HTTP/1.1", "HTTP/1.0"), "505"}),
     [](const auto& info) { return std::string(info.param.name); });
 
 const std::string kHealth = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
 
-TEST(RecordedAnswers, OfHealthAreTheSameBytes) {
-    Running ready(a_config(kNowhere, {host("s1", kNowhere)}));
+TEST(RecordedResponses, OfHealthAreTheSameBytes) {
+    Running ready(a_config(kUnusedAddress, {host("s1", kUnusedAddress)}));
     expect_recorded("health-ready", ask(ready.at, kHealth));
-    json config = a_config(kNowhere, {});
+    json config = a_config(kUnusedAddress, {});
     config.erase("known");
     Running unready(config);
     expect_recorded("health-not-ready", ask(unready.at, kHealth));
 }
 
-TEST(RecordedAnswers, WhereNoServerCanBeReachedAreTheSameBytes) {
-    Running sidecar(a_config(kNowhere, {host("s1", kNowhere)}));
+TEST(RecordedResponses, WhereNoServerCanBeReachedAreTheSameBytes) {
+    Running sidecar(a_config(kUnusedAddress, {host("s1", kUnusedAddress)}));
     const std::string answer = ask(sidecar.at, replaced(kPost, "25000m", "300m"));
     expect_recorded("no-server-to-client", answer);
 }
 
-TEST(RecordedAnswers, WhereTheServerIsSilentAreTheSameBytes) {
+TEST(RecordedResponses, WhereTheServerIsSilentAreTheSameBytes) {
     ByteServer silent("");
-    Running sidecar(a_config(kNowhere, {host("s1", silent.at())}));
+    Running sidecar(a_config(kUnusedAddress, {host("s1", silent.at())}));
     expect_recorded("silent-server-to-client", ask(sidecar.at, replaced(kPost, "25000m", "300m")));
 }
 
-TEST(RecordedAnswers, ToANameThatIsInUseAreTheSameBytes) {
+TEST(RecordedResponses, ToCorrelationIdInUseAreTheSameBytes) {
     ByteServer silent("");
-    Running sidecar(a_config(kNowhere, {host("s1", silent.at())}));
+    Running sidecar(a_config(kUnusedAddress, {host("s1", silent.at())}));
     App first(sidecar.at);
     first.wire.write(kPost);
     silent.wait_for(1);
@@ -263,7 +264,8 @@
 // ---- Calls to discovery -----------------------------------------------------------------------------------
 
 std::string list_answer() {
-    const std::string body = json{{"seq", 17}, {"whole", true}, {"hosts", {host("s1", kNowhere)}}}.dump();
+    const std::string body =
+        json{{"seq", 17}, {"whole", true}, {"hosts", {host("s1", kUnusedAddress)}}}.dump();
     return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
@@ -279,7 +281,7 @@
 
 TEST(RecordedDiscovery, IsWatchedFromTheKnownListInTheSameBytes) {
     ByteServer discovery("");
-    Running sidecar(a_config(discovery.at(), {host("s1", kNowhere)}));
+    Running sidecar(a_config(discovery.at(), {host("s1", kUnusedAddress)}));
     expect_recorded("discovery-watch-from-known", discovery.wait_for(1).at(0));
 }
 
