--- a/deploy/sites/install_sites.sh
+++ b/deploy/sites/install_sites.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Copies the files that the bench reads next to a site file into this folder: the kit's own wire names and its unlock
-# codes. Git ignores them.
+# Copies the kit's wire names and unlock codes into this folder, where the bench reads them beside each site file. Git
+# ignores the copies.
 #
 #   deploy/sites/install_sites.sh KIT
 set -euo pipefail
