--- a/tools/check_readability.py
+++ b/tools/check_readability.py
@@ -1,13 +1,13 @@
 #!/usr/bin/env python3
-"""Checks the C++ sources for what makes them hard to read, and prints what is left.
+"""Checks the readability of the C++ sources and prints the number of violations of each kind.
 
     tools/check_readability.py [--list] [--record]
 
-Looks for files over 400 lines, functions over 40 lines (needs Universal Ctags), identifiers with a
-word of the withdrawn house style, the first operator's program names, and headers without an opening
-comment. What is known to be left stands in tools/readability_baseline.json: a new place fails the check,
-and so does a baseline that is higher than what is found, so that it can only shrink. Exit 0 where both
-agree, else 1.
+Violations are files over 400 lines, functions over 40 lines (needs Universal Ctags), identifiers that contain
+a discouraged word, the program names of the first operator, and headers without an opening comment. The known
+violations are counted in tools/readability_baseline.json. A count above the baseline fails the check; a count
+below the baseline fails too, so that the baseline can only shrink. Exit code 0 if all counts equal the
+baseline, else 1.
 """
 import argparse
 import collections
@@ -21,8 +21,8 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 BASELINE = ROOT / "tools" / "readability_baseline.json"
 
-# A word of the withdrawn style, as a whole part of an identifier, and the term of the field for it.
-HOUSE_WORDS = {
+# Discouraged words, compared with each word of an identifier, and the standard terms to use instead.
+DISCOURAGED_WORDS = {
     "told": "notified",
     "tell": "notify, report",
     "said": "reported",
@@ -99,9 +99,9 @@
     "beforehand": "what it precedes",
     "lay": "install",
 }
-# An identifier that is right although a part of it is a house word, and why.
+# Identifiers that may contain a discouraged word, and the reason.
 ALLOWED = {
-    "superseded": "a version of the configuration that a later one replaced; the word of the operators' JSON",
+    "superseded": "a configuration version that a later version replaced; the term in the operators' JSON",
     "connection_refused": "Asio's name of ECONNREFUSED",
     "placement": "the C++ term",
 }
@@ -109,7 +109,7 @@
 
 
 def source_files():
-    """The C++ files that git tracks, relative to the root."""
+    """The paths of the C++ files that git tracks, relative to the root."""
     folders = ["src", "include", "tests", "bench"]
     listed = subprocess.run(
         ["git", "ls-files", *folders], cwd=ROOT, capture_output=True, text=True, check=True
@@ -117,29 +117,29 @@
     return [name for name in listed.stdout.split() if name.endswith((".cpp", ".hpp"))]
 
 
-def parts_of(identifier):
-    """The words of an identifier in any case style."""
+def words_of(identifier):
+    """The lower-case words of an identifier in snake_case or CamelCase."""
     snake = re.sub(r"(?<=[a-z0-9])(?=[A-Z])", "_", identifier)
     return [part for part in snake.lower().split("_") if part]
 
 
-def code_of(text):
-    """The text without comments and with empty strings."""
+def strip_comments_and_strings(text):
+    """The text without comments, with each string literal emptied."""
     text = re.sub(r"/\*.*?\*/|//[^\n]*", "", text, flags=re.S)
     return re.sub(r'"(?:\\.|[^"\\\n])*"', '""', text)
 
 
-def house_words_in(text):
-    """Pairs of identifier and count, of those with a house word in them."""
-    identifiers = re.findall(r"[A-Za-z_]\w*", code_of(text))
+def discouraged_words_in(text):
+    """Pairs of identifier and count, for identifiers that contain a discouraged word."""
+    identifiers = re.findall(r"[A-Za-z_]\w*", strip_comments_and_strings(text))
     counted = collections.Counter(
-        name for name in identifiers if name not in ALLOWED and set(parts_of(name)) & HOUSE_WORDS.keys()
+        name for name in identifiers if name not in ALLOWED and set(words_of(name)) & DISCOURAGED_WORDS.keys()
     )
     return counted.most_common()
 
 
 def long_functions(names):
-    """Pairs of file and description, of functions over the limit."""
+    """Pairs of file and description, for functions over the limit."""
     command = ["ctags", "--c++-kinds=f", "--fields=+ne", "--output-format=json", "-o", "-", *names]
     tags = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=True).stdout
     for line in tags.splitlines():
@@ -149,8 +149,8 @@
             yield tag["path"], f"{tag['name']} has {length} lines"
 
 
-def find_places():
-    """All that is left, by kind: lists of pairs of file and description."""
+def find_violations():
+    """All violations by kind, as lists of pairs of file and description."""
     found = collections.defaultdict(list)
     names = source_files()
     for name in names:
@@ -163,55 +163,57 @@
         if FORMER_NAMES.search(text):
             found["former names"].append((name, "names the first operator's program"))
         if name.startswith(("src/", "include/")):
-            for identifier, count in house_words_in(text):
-                word = next(part for part in parts_of(identifier) if part in HOUSE_WORDS)
-                found["house words"].append((name, f"{identifier} x{count} ({word}: {HOUSE_WORDS[word]})"))
+            for identifier, count in discouraged_words_in(text):
+                word = next(part for part in words_of(identifier) if part in DISCOURAGED_WORDS)
+                found["house words"].append(
+                    (name, f"{identifier} x{count} ({word}: {DISCOURAGED_WORDS[word]})")
+                )
     found["long functions"] = list(long_functions(names))
     return found
 
 
-def counts_of(found):
-    """Places by kind and file, as the baseline holds them."""
+def count_by_file(found):
+    """The number of violations by kind and file, in the baseline's format."""
     return {
-        kind: dict(sorted(collections.Counter(path for path, _ in places).items()))
-        for kind, places in sorted(found.items())
-        if places
+        kind: dict(sorted(collections.Counter(path for path, _ in violations).items()))
+        for kind, violations in sorted(found.items())
+        if violations
     }
 
 
 def differences(counted, baseline):
-    """A line for each file whose count is not the baseline's."""
+    """Yields a line for each file whose count differs from the baseline."""
     for kind in sorted(counted.keys() | baseline.keys()):
         now, before = counted.get(kind, {}), baseline.get(kind, {})
         for path in sorted(now.keys() | before.keys()):
             if now.get(path, 0) > before.get(path, 0):
-                yield f"{kind}: {path} has {now[path]}, {before.get(path, 0)} are known"
+                yield f"{kind}: {path} has {now[path]}, the baseline has {before.get(path, 0)}"
             elif now.get(path, 0) < before.get(path, 0):
                 left = now.get(path, 0)
-                yield f"{kind}: {path} has {left}, not the baseline's {before[path]}: lower it by --record"
+                yield f"{kind}: {path} has {left}, the baseline has {before[path]}: lower it with --record"
 
 
 def main():
-    """Prints the count of each kind and what differs from the baseline."""
+    """Prints the count of each kind and the differences from the baseline; returns the exit code."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
-    parser.add_argument("--list", action="store_true", help="print each place")
-    parser.add_argument("--record", action="store_true", help="record what is found as the new baseline")
+    parser.add_argument("--list", action="store_true", help="print each violation")
+    parser.add_argument("--record", action="store_true", help="write the current counts to the baseline")
     arguments = parser.parse_args()
-    found = find_places()
-    for kind, places in sorted(found.items()):
-        print(f"{kind}: {len(places)}")
+    found = find_violations()
+    for kind, violations in sorted(found.items()):
+        print(f"{kind}: {len(violations)}")
         if arguments.list:
-            for path, description in places:
+            for path, description in violations:
                 print(f"    {path}: {description}")
-    counted = counts_of(found)
+    counted = count_by_file(found)
     if arguments.record:
         BASELINE.write_text(json.dumps(counted, indent=1) + "\n", encoding="utf-8")
         return 0
-    wrong = list(differences(counted, json.loads(BASELINE.read_text(encoding="utf-8"))))
-    print(*wrong, sep="\n")
-    return 1 if wrong else 0
+    mismatches = list(differences(counted, json.loads(BASELINE.read_text(encoding="utf-8"))))
+    print(*mismatches, sep="\n")
+    return 1 if mismatches else 0
 
 
 if __name__ == "__main__":
