--- a/bench/crash.py
+++ b/bench/crash.py
@@ -113,7 +113,7 @@
 
 
 async def change_continuously(sidecar, discovery, hosts, config, end):
-    """Changes the endpoint list each second and the configuration each fifth, until `end` (monotonic, s)."""
+    """Changes the endpoint list every second and the configuration every 5 s, until `end` (monotonic, s)."""
     change_count = 0
     while time.monotonic() < end:
         change_count += 1
--- a/bench/survey.py
+++ b/bench/survey.py
@@ -67,7 +67,7 @@
     shortfalls: list = field(default_factory=list)
 
 
-def finite_number(value, where):
+def number(value, where):
     """The value if it is a finite number. Raises Unreadable otherwise."""
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not math.isfinite(value):
         raise Unreadable(f"{where} is not a finite number")
@@ -81,7 +81,7 @@
         where = f"row.{key}[{i}]"
         if not isinstance(entry, list) or len(entry) != 3 or not isinstance(entry[0], str):
             raise Unreadable(f"{where} is not a name and two shares")
-        served, required = finite_number(entry[1], where), finite_number(entry[2], where)
+        served, required = number(entry[1], where), number(entry[2], where)
         has_requirement = required / fraction >= MIN_REFERENCE_SHARE
         shares.append(Share(entry[0], served, required if has_requirement else 0))
     return sorted(shares, key=lambda share: share.served - share.required)
@@ -91,7 +91,7 @@
     """The fault that the bench reports and the violated rules, as text."""
     faults = [f"fault: {row['fault']}"] if row.get("fault") else []
     for rule, violations in sorted((row.get("rules") or {}).items()):
-        if finite_number(violations, f"row.rules.{rule}") > 0:
+        if number(violations, f"row.rules.{rule}") > 0:
             faults.append(f"rule {rule}")
     return faults
 
@@ -100,8 +100,7 @@
     """The longest time in seconds from a start or restart of a sidecar until it was ready."""
     observed = (report.get("real") or {}).get("seen") or {}
     return max(
-        finite_number(time, "ready")
-        for time in [observed.get("start_s", 0), *(observed.get("restart_s") or [])]
+        number(time, "ready") for time in [observed.get("start_s", 0), *(observed.get("restart_s") or [])]
     )
 
 
@@ -113,8 +112,8 @@
     shortfalls = read_faults(row)
     total = Share(
         "total",
-        finite_number(row.get("served"), "row.served"),
-        finite_number(row.get("served_least"), "row.served_least"),
+        number(row.get("served"), "row.served"),
+        number(row.get("served_least"), "row.served_least"),
     )
     if total.falls_short:
         shortfalls.append("served")
--- a/tools/check_readability.py
+++ b/tools/check_readability.py
@@ -187,7 +187,7 @@
         now, before = counted.get(kind, {}), baseline.get(kind, {})
         for path in sorted(now.keys() | before.keys()):
             if now.get(path, 0) > before.get(path, 0):
-                yield f"{kind}: {path} has {now[path]}, the baseline has {before.get(path, 0)}"
+                yield f"{kind}: {path} has {now[path]}, more than {before.get(path, 0)} in the baseline"
             elif now.get(path, 0) < before.get(path, 0):
                 left = now.get(path, 0)
                 yield f"{kind}: {path} has {left}, the baseline has {before[path]}: lower it with --record"
