--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -254,7 +254,7 @@
     for (int i = 0; i < 60; ++i) crowd.complete_all(crowd.burst(40, 5000), 600);
     crowd.retry_advice.clear();
     crowd.burst(200, 5000);
-    crowd.pass(100);
+    crowd.advance(100);
     EXPECT_GE(crowd.retry_advice.size(), 100U);
     for (const Millis advice : crowd.retry_advice) {
         EXPECT_GT(advice, 100);
