--- a/include/ochregrade/actions.hpp
+++ b/include/ochregrade/actions.hpp
@@ -19,9 +19,9 @@
     RequestId id = 0;
     EndpointId endpoint = 0;
     Millis give_up_at = 0;  ///< the host ends the attempt as timed out at this time
-    /// The host writes the complete request before this time, or does not write it and reports not_sent.
-    /// After this time the endpoints may have dropped the idempotency key of an earlier attempt, and the
-    /// request would run twice.
+    /// The host writes the complete request before this time, or does not write it and reports not_sent. The
+    /// time is the request's deadline, or earlier for a repeat with an idempotency key: later, the endpoints
+    /// may have dropped the key of the first attempt, and the request would run twice.
     Millis write_deadline = 0;
 };
 struct CancelAttempt {
@@ -32,7 +32,7 @@
 enum class EndReason {
     deadline_exceeded,       ///< the deadline of the request has passed
     no_capacity,             ///< no endpoint could take the request before its queue deadline
-    attempts_exhausted,      ///< attempt limit reached, or an attempt may have run and must not be repeated
+    attempts_exhausted,      ///< attempt limit reached, or the request is not idempotent and may have run
     retry_budget_exhausted,  ///< a retry would exceed the retry budget
     /// Set by the sidecar, never by this library: requests pipelined behind this one on the client's
     /// connection wait for their responses.
@@ -40,13 +40,13 @@
     count
 };
 
-/// Sends the final response: rejected; a retry by the client is harmless.
+/// Sends the final response "rejected", which promises the client that a retry is harmless.
 struct RejectRequest {
     RequestId id = 0;
-    Millis retry_after = 0;  ///< advice to the client, from now on; 0: none
+    Millis retry_after = 0;  ///< time from now after which the client should retry; 0: no advice
     EndReason reason = EndReason::no_capacity;
 };
-/// Sends the final response: failed; the request may have run.
+/// Sends the final response "failed": the request may have run.
 struct FailRequest {
     RequestId id = 0;
     EndReason reason = EndReason::no_capacity;
@@ -69,9 +69,9 @@
 /// sidecar's previous report about the endpoint.
 struct PublishEvidence {
     EndpointId endpoint = 0;
-    double successes = 0, failures = 0;  ///< counts of outcomes
+    double successes = 0, failures = 0;  ///< counts of outcomes; decay with time constant 5 s
     double latency_ratio = 0;            ///< recent response time / latency objective; 0: not known
-    bool ejected = false;                ///< this sidecar has ejected the endpoint
+    bool ejected = false;                ///< the endpoint is ejected or half-open at this sidecar
     bool recovered = false;              ///< the endpoint has just passed this sidecar's half-open trial
 };
 struct SubscribeEndpoints {
--- a/include/ochregrade/balancer.hpp
+++ b/include/ochregrade/balancer.hpp
@@ -19,20 +19,19 @@
 
 class Balancer {
 public:
-    /// Throws std::invalid_argument, which names the invalid setting.
+    /// Throws std::invalid_argument if a setting is invalid; the message names the first invalid setting.
     Balancer(Settings settings, std::uint64_t seed);
     ~Balancer();
     Balancer(Balancer&&) noexcept;
     Balancer& operator=(Balancer&&) noexcept;
 
-    /// Appends to actions. An event about an unknown id, or about a request or attempt that has ended, has no
-    /// effect.
+    /// Appends the actions to `actions`. events.hpp says which events have no effect.
     void handle(Millis now, const Event& event, std::vector<Action>& actions);
 
     /// Current numbers of requests, endpoints and timers, which determine the memory use of this instance.
     struct Usage {
         std::size_t requests = 0, endpoints = 0, timers = 0;
-        std::size_t ejected = 0;  ///< ejected endpoints, including endpoints in their half-open trial
+        std::size_t ejected = 0;  ///< listed endpoints that are ejected or in their half-open trial
     };
     Usage usage() const;
 
--- a/include/ochregrade/events.hpp
+++ b/include/ochregrade/events.hpp
@@ -1,8 +1,9 @@
 // Events of the decision library: the input of Balancer::handle(), in order.
 //
 // The host (sidecar or simulator) creates an event for everything that it observes and passes it with the
-// time at which it happened. All times are milliseconds. An event about an unknown id, or about a request or
-// attempt that has ended, has no effect.
+// time at which it happened. All times are milliseconds. An event about an unknown id or about an attempt
+// that has ended has no effect. A request that has ended gets no further attempt or final response, but the
+// end of an attempt that is still in flight counts as evidence about the endpoint.
 #pragma once
 
 #include <cstddef>
@@ -21,8 +22,8 @@
     ZoneId zone = 0;
     std::uint32_t cell = 0;
     EndpointState state = EndpointState::serving;
-    Millis started_at = 0;       ///< time of its last start; 0: long ago
-    double capacity_weight = 1;  ///< registered capacity relative to other endpoints
+    Millis started_at = 0;       ///< time of the endpoint's last start; 0: long ago
+    double capacity_weight = 1;  ///< registered capacity relative to other endpoints; invalid: counts as 1
 };
 
 /// incremental: changed entries only. full: the complete endpoint list. cached: the complete list saved by
@@ -61,7 +62,8 @@
     Millis time_left = 0;           ///< until the client stops waiting for the response
     Millis effort = 0;              ///< expected work; 0: not known
     bool client_retry = false;      ///< marked by the client as its own retry
-    SettingsPtr settings{};  ///< settings for this request until it ends; none: the balancer's settings
+    /// The settings for this request until it ends; none or without classes: the settings in force.
+    SettingsPtr settings{};
 };
 /// A streamed response has started to go to the client: from now on the request can be neither retried nor
 /// completed by the balancer.
@@ -74,7 +76,7 @@
     std::uint32_t attempt = 0;  ///< from 0, in the order of the request's SendAttempt actions
     Outcome outcome = Outcome::success;
     Millis duration = 0;
-    bool request_ended = false;  ///< the client has its final response, from this attempt or an earlier one
+    bool request_ended = false;  ///< the client has its final response, from this or another attempt
 };
 struct ClientDisconnected {
     RequestId id = 0;
@@ -96,30 +98,39 @@
 struct SettingsChanged {
     SettingsPtr settings{};
 };
-/// The state of an endpoint that the next run would have to measure anew with failed or slow requests.
+/// The part of an endpoint's state that the next run restores. Without the snapshot, the next run would have
+/// to measure this state again, at the cost of failed or slow requests.
 struct EndpointSnapshot {
     EndpointId endpoint = 0;
     Millis ejected_for = 0;    ///< remaining backoff; 0: not ejected
     double latency_ratio = 0;  ///< recent response time / latency objective; 0: not known
 };
-/// The snapshot of the previous run, with the time since then subtracted from the backoffs. It applies only
-/// to endpoints without outcomes, attempts in flight or an ejection in this run.
+/// The snapshots that the previous run saved. The host has subtracted the time since the save from the
+/// backoffs. A snapshot applies only to an endpoint that is known and has no outcomes, no attempts in flight
+/// and no ejection in this run.
 struct StateRestored {
     std::vector<EndpointSnapshot> endpoints{};
 };
-/// The sum of the other sidecars' reports about an endpoint, from their last 10 s. Relayed reports count in
-/// favour of an endpoint but not against it.
+/// Totals over the reports that the other sidecars published about an endpoint in the last 10 s; each sidecar
+/// has at most one report about an endpoint. A report is direct if it came from the sidecar that published
+/// it, and relayed if another sidecar forwarded it and may have forged it. Each member says which reports it
+/// counts.
 struct EndpointEvidence {
     EndpointId endpoint = 0;
-    std::uint32_t successes = 0, failures = 0;  ///< counts of outcomes
-    std::uint32_t reporters = 0;         ///< sidecars with failed attempts at the endpoint or that ejected it
-    std::uint32_t direct_reporters = 0;  ///< reporters whose report came from themselves, not relayed
-    std::uint32_t withdrawals = 0;       ///< sidecars that reported directly that it is draining or removed
-    std::uint32_t recoveries = 0;        ///< sidecars whose half-open trial has just succeeded
-    std::uint32_t latency_reporters = 0;  ///< sidecars that reported a latency ratio
-    double latency_ratio = 0;             ///< mean of the reported latency ratios
+    /// Counts of outcomes: successes in all reports, failures only in direct reports.
+    std::uint32_t successes = 0, failures = 0;
+    /// Sidecars that report failures at the endpoint or have ejected it; all reports.
+    std::uint32_t reporters = 0;
+    std::uint32_t direct_reporters = 0;  ///< the reporters whose report is direct
+    /// Sidecars whose endpoint list has the endpoint draining or removed; direct reports only.
+    std::uint32_t withdrawals = 0;
+    /// Sidecars whose half-open trial at the endpoint has just succeeded; all reports.
+    std::uint32_t recoveries = 0;
+    std::uint32_t latency_reporters = 0;  ///< sidecars that report a latency ratio; direct reports only
+    double latency_ratio = 0;             ///< mean over the latency reporters; 0: there are none
 };
-/// The complete evidence: no sidecar reports anything about an endpoint that is not in the list.
+/// The evidence about all endpoints. Replaces the previous event of this type: about an endpoint that is not
+/// in the list, no other sidecar reports anything now.
 struct FleetEvidence {
     std::vector<EndpointEvidence> endpoints{};
 };
--- a/src/balancer/admission_controller.cpp
+++ b/src/balancer/admission_controller.cpp
@@ -11,16 +11,19 @@
 
 // Initial and maximum concurrency limit, in attempts: high enough to be no limit in practice.
 constexpr double kInitialLimit = 1000;
-// Change of the concurrency limit, in attempts, per sample and per unit of latency ratio off the target.
+// Change of the concurrency limit, in attempts, per sample and per unit of difference between
+// kTargetLatencyRatio and the utilisation.
 constexpr double kLimitGain = 0.5;
-// Attempts in flight at each endpoint, by all sidecars together, that admission always allows.
+// Lower bound of the concurrency limits of all sidecars together, in attempts per endpoint. The part of a
+// single sidecar is at most 1 (fleet_share()), so that the bound is lower with fewer than four sidecars.
 constexpr double kMinAttemptsPerEndpoint = 4;
-// Share of the concurrency limit that is open to every class, whatever its priority weight. Client retries
-// get only this share, because the latency objective of a retried request has been running since the client's
-// first try.
+// Share of the concurrency limit that is open to every class, whatever its priority weight. Client retries of
+// every class get only this share: the latency objective of such a request has been running since the client
+// first sent it, so that the response is more likely to be late.
 constexpr double kCommonShare = 0.6;
-// Time constant of the utilisation: a lower ratio gets more weight the longer ago the last sample was,
-// because a sidecar that sheds most of its requests gets few samples.
+// Time constant with which the utilisation becomes stale. A sample below the utilisation gets more weight the
+// longer ago the previous sample was: a sidecar that sheds most of its requests gets few samples, and its
+// utilisation would otherwise stay high for long.
 constexpr Millis kUtilisationTimeConstant = 5000;
 // Weight of a peer's report in this sidecar's utilisation.
 constexpr double kPeerReportWeight = 0.1;
@@ -50,7 +53,7 @@
     const double step = kLimitGain * (kTargetLatencyRatio - utilisation_);
     if (step < 0)
         limit_ = std::max(minimum_limit(), std::min(limit_, peak_in_flight_ + 1.0) + step);
-    else if (in_flight_ + 1 > limit_ / 2)  // the limit grows only while it is used
+    else if (in_flight_ + 1 > limit_ / 2)  // the limit grows only while about half of it is used
         limit_ = std::min(kInitialLimit, limit_ + step);
 }
 
--- a/src/balancer/admission_controller.hpp
+++ b/src/balancer/admission_controller.hpp
@@ -17,9 +17,9 @@
     AdmissionController(Context& context, const EndpointTable& table, const EndpointSubset& subset);
 
     /// Whether a request is admitted now. Requests of the highest priority weight may use the full
-    /// concurrency limit, all others only a part of it. If the usable part is less than one attempt, it is
-    /// the probability of admission: a sidecar with low traffic, which has one request at a time, sheds load
-    /// by this draw.
+    /// concurrency limit; requests of a lower weight and client retries may use only a part of it. A part of
+    /// less than one attempt is the probability of admission while no attempt is in flight. Without this
+    /// draw, a sidecar with low traffic, which has one request at a time, would shed no load.
     bool admits(double priority_weight, double highest_priority_weight, bool client_retry);
     bool is_full() const { return in_flight_ >= limit_; }
 
@@ -30,21 +30,22 @@
     void record_latency_ratio(double ratio);
     /// Records the mean latency ratio that a peer reports; adapts only the utilisation.
     void record_peer_latency_ratio(double ratio);
-    /// Lowers the concurrency limit in proportion when capacity leaves the pool: the load of the lost
-    /// endpoints moves to the remaining ones before any response shows it. The limit grows again if the
-    /// remaining endpoints had capacity to spare. Capacities in registered weight.
+    /// Lowers the concurrency limit in proportion when the capacity of the pool falls, because the load of
+    /// the lost endpoints moves to the remaining ones before any response shows it. The limit grows again if
+    /// the remaining endpoints have capacity to spare. Has no effect if the capacity does not fall or if this
+    /// sidecar's traffic is not sparse. Capacities are in units of registered capacity weight.
     void record_capacity_change(double before, double after);
 
-    /// Smoothed latency ratio of recent responses.
+    /// Smoothed latency ratio of this sidecar's recent attempts and of the reports of peers.
     double utilisation() const { return utilisation_; }
-    /// This sidecar's share of kMinAttemptsPerEndpoint attempts at each endpoint, which all sidecars divide
-    /// among them; at most 1.
+    /// This sidecar's part of kMinAttemptsPerEndpoint: that number divided by the number of sidecars, but at
+    /// most 1 attempt.
     double fleet_share() const;
 
 private:
-    /// Lower bound of the concurrency limit: one attempt for each endpoint, or with many sidecars
-    /// fleet_share() for each endpoint. If the service time alone exceeds the target, rejecting more requests
-    /// does not shorten it and leaves endpoints idle.
+    /// Lower bound of the concurrency limit: fleet_share() for each endpoint of the table. The bound is
+    /// needed where the service time alone exceeds kTargetLatencyRatio: to reject more requests would not
+    /// shorten the service time, but leave endpoints idle.
     double minimum_limit() const;
 
     Context& context_;
@@ -52,7 +53,7 @@
     const EndpointSubset& subset_;
     int in_flight_ = 0;
     double limit_;
-    double peak_in_flight_ = 0;  // decaying maximum: a short pause in traffic must not lower the limit
+    double peak_in_flight_ = 0;  // decaying maximum of in_flight_: a short pause must not lower the limit
     double utilisation_ = 0;
     Millis updated_at_ = 0;
 };
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -3,10 +3,11 @@
 //
 // The path of a request: RequestScheduler accepts the request and sets the timer of its deadline.
 // AdmissionController decides whether there is capacity, and EndpointSelector selects the endpoint. The
-// request is then sent with the client's deadline, or it waits in the queue. When the attempt ends, its
-// outcome goes to admission, gossip, shared evidence and outlier detection, in that order, and the request is
-// scheduled again or completed. Only RequestScheduler::complete() makes the library send a final response.
-// Every attempt requires RetryPolicy::may_send(), and every rejection requires RetryPolicy::may_reject().
+// request is then sent with the client's deadline, or it waits for a probe or in the queue. When the attempt
+// ends, its outcome goes to load reports, admission, attempt statistics, gossip, shared evidence and outlier
+// detection, in that order. Then the request has ended, is scheduled again or is completed. Only
+// RequestScheduler::complete() makes the library send a final response of its own. Every attempt requires
+// RetryPolicy::may_send(), and every rejection requires RetryPolicy::may_reject().
 #include "ochregrade/balancer.hpp"
 
 #include <algorithm>
@@ -50,21 +51,22 @@
         context.settings = event.settings;
         if (!context.settings->evidence_shared) evidence.clear_fleet_evidence();
         if (subscribe) watch.subscribe();
-        scheduler.schedule_queued();  // this sidecar's share of the concurrency limit may have grown
+        scheduler.schedule_queued();  // the endpoint subset and slow start may differ under the new settings
     }
 
     void on(const EndpointUpdate& update) {
         if (update.kind == EndpointUpdateKind::failed) return watch.schedule_retry();
         const double capacity_before = endpoints.capacity(slow_start);
         endpoints.apply(update);
-        if (watch.has_current_list())  // the step from a cached, possibly stale list is no change of capacity
+        if (watch.has_current_list())  // replacing a stale cached list shows no change of capacity
             admission.record_capacity_change(capacity_before, endpoints.capacity(slow_start));
         watch.list_received(update.kind);
         for (const EndpointId id : endpoints.removed_and_idle()) erase_if_removed_and_idle(id);
         scheduler.schedule_queued();
     }
 
-    // Requests that wait for a probe of the erased endpoint are scheduled without that probe.
+    // For each request that waits for a probe of the erased endpoint, the probe counts as ended without
+    // success.
     void erase_if_removed_and_idle(EndpointId id) {
         if (!endpoints.erase_if_removed_and_idle(id)) return;
         for (const RequestId request : races.take_waiters(id)) scheduler.probe_ended(request, nullptr);
@@ -105,8 +107,8 @@
         if (EndpointRecord* endpoint = endpoints.find(attempt.endpoint)) {
             record_outcome(*endpoint, *request, attempt, event);
             // Idle connections of many sidecars fill an endpoint's connection table: the endpoint slows down
-            // and then refuses new connections. With low traffic, the next request comes so late that opening
-            // a new connection costs less than holding an idle one.
+            // and then refuses new connections. With low traffic, the next request to the endpoint comes so
+            // late that a new connection for that request costs less than an idle one until then.
             if (endpoint->in_flight == 0 && subset.is_traffic_low())
                 context.append_action(CloseIdleConnections{attempt.endpoint});
             erase_if_removed_and_idle(attempt.endpoint);
@@ -144,8 +146,8 @@
 
     void record_latency_ratio(EndpointRecord& endpoint, double ratio, bool success) {
         smooth(endpoint.latency_ratio, ratio);
-        // Two kinds of samples do not show the load of the pool: a cold endpoint is slow anyway, and a
-        // failure at a suspected endpoint is a fault of that endpoint.
+        // Two kinds of samples do not show the load of the pool: those of a cold endpoint, which is slow at
+        // any load, and failed attempts at a suspected endpoint, which show a fault of that endpoint.
         if (slow_start.is_cold(endpoint) || (!success && gossip.suspicion(endpoint) > 0)) return;
         load_reports.record_latency_ratio(ratio);
         admission.record_latency_ratio(ratio);
@@ -162,8 +164,9 @@
         admission.record_capacity_change(remaining_capacity + lost_capacity, remaining_capacity);
     }
 
-    // Ends or reschedules a request after one of its attempts has ended. Without the retry budget, each
-    // request would be sent to an overloaded pool as often as the attempt limit allows.
+    // Completes a request or schedules it again after one of its attempts has ended; before its deadline, a
+    // request with another attempt in flight waits for that attempt. Without the retry budget, each request
+    // would be sent to an overloaded pool as often as the attempt limit allows.
     void continue_request(Request& request, bool client_has_final_response) {
         if (client_has_final_response) request.ended = true;
         if (request.ended) requests.note_ended(request.id);
--- a/src/balancer/ejection_state.hpp
+++ b/src/balancer/ejection_state.hpp
@@ -13,11 +13,12 @@
 
 namespace ochregrade::detail {
 
-/// Number of outcomes in a window.
+/// Number of outcomes in a full window.
 constexpr int kOutcomeWindow = 20;
-/// Success share of a window below which an endpoint is ejected.
+/// Highest value of OutlierDetection::outlier_threshold(): an endpoint is an outlier only if the success
+/// share of its window is below this.
 constexpr double kSuccessThreshold = 0.9;
-/// Time from an ejection to the half-open trial.
+/// Time from an ejection until the half-open trial may start.
 constexpr Millis kEjectionBackoff = 10000;
 
 class EjectionState {
@@ -45,7 +46,7 @@
     }
     void set_backoff_until(Millis until) { backoff_until_ = until; }
     void start_trial() { health_ = Health::half_open; }
-    /// The trial ended without success or failure: the endpoint's next request is another trial.
+    /// The half-open trial was cancelled or not sent: the endpoint's next request is another trial.
     void abandon_trial() { health_ = Health::ejected; }
     /// Makes the endpoint available with an empty window.
     void reset() {
--- a/src/balancer/endpoint_selector.cpp
+++ b/src/balancer/endpoint_selector.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-// Utilisation (latency ratio) above which endpoints of the local zone are no longer preferred: well above the
-// utilisation of an idle pool.
+// Utilisation of the pool (AdmissionController::utilisation(), a latency ratio) above which endpoints of the
+// local zone are no longer preferred: well above the utilisation of an idle pool.
 constexpr double kMaxLocalUtilisation = 0.35;
-// Factor on the draw weight of an endpoint that a quorum reports as slow.
+// Factor on the draw weight of an endpoint that a quorum of other sidecars reports as slow.
 constexpr double kSlowWeight = 0.5;
 
 }  // namespace
@@ -32,8 +32,9 @@
     return sources_.retry_policy.may_send(request, endpoint) && sources_.slow_start.admits(endpoint);
 }
 
-// Chooses between two randomly drawn endpoints. If cross-zone attempts have a fee and the pool is not
-// overloaded, one of the two is drawn from the local zone.
+// Chooses between two randomly drawn endpoints, or starts a probe race between them. If cross-zone attempts
+// have a fee and the utilisation is at most kMaxLocalUtilisation, the first of the two is drawn from the
+// local zone, provided that the zone has a candidate.
 Selection EndpointSelector::choose(const Request& request, const Candidates& candidates) const {
     const Settings& settings = *request.settings;
     EndpointRecord* first = draw(candidates, nullptr);
@@ -61,9 +62,12 @@
     return local;
 }
 
-// Whether the second endpoint is less loaded. An endpoint of the local zone wins ties. It also wins with one
-// attempt more in flight if this sidecar's share of the cross-zone fee exceeds the probability of a late
-// response; only the share counts, because one more attempt from each of many sidecars builds a queue.
+// Whether the second endpoint is better: it has fewer attempts in flight, or with equal numbers less
+// suspicion, or with equal suspicion a lower latency ratio. first_is_local means that the first endpoint is
+// in the local zone and the second is not. The first endpoint then has two advantages: it wins if only the
+// latency ratio differs, and it may have one attempt more in flight if fleet_share() times the cross-zone fee
+// exceeds the estimated probability of a late response, exp(-1 / utilisation). The fee is multiplied by
+// fleet_share() because one more attempt from each of many sidecars builds a queue.
 bool EndpointSelector::is_second_better(const EndpointRecord& first, const EndpointRecord& second,
                                         double suspicion_difference, bool first_is_local,
                                         const Settings& settings) const {
@@ -76,8 +80,9 @@
     return !first_is_local && second.latency_ratio < first.latency_ratio;
 }
 
-// Weight of an endpoint in the random draw. If this sidecar has no attempts in flight, the draw alone
-// decides, and equal probabilities would overload endpoints of low capacity. Suspicion lowers the weight.
+// Weight of an endpoint in the random draw, in proportion to its capacity: while this sidecar has no attempts
+// in flight, their numbers do not tell the endpoints apart, and equal probabilities would overload endpoints
+// of low capacity. Suspicion and a quorum's reports of slow responses lower the weight.
 double EndpointSelector::draw_weight(const EndpointRecord& endpoint) const {
     const double suspicion = sources_.gossip.suspicion(endpoint);
     return endpoint.info.capacity_weight / ((1 + suspicion) * (1 + suspicion)) *
--- a/src/balancer/endpoint_selector.hpp
+++ b/src/balancer/endpoint_selector.hpp
@@ -43,9 +43,10 @@
     };
     explicit EndpointSelector(const Sources& sources) : sources_(sources) {}
 
-    /// An endpoint whose backoff has expired gets the request as its half-open trial. Otherwise the less
-    /// loaded of two randomly drawn endpoints gets the request. Endpoints that the request has already tried
-    /// are drawn only if there are no others.
+    /// Selects among the endpoints of the subset that may_use() allows and that are not withdrawn. An
+    /// endpoint whose ejection backoff has expired comes first and gets the request as its half-open trial.
+    /// Otherwise two available endpoints are drawn at random, and the better one gets the request or both are
+    /// probed. Endpoints that the request has already tried are drawn only if there are no others.
     Selection select(const Request& request) const;
     /// Whether the retry policy and slow start allow an attempt of the request at the endpoint. Draws a
     /// random number if the endpoint is cold.
--- a/src/balancer/endpoint_subset.cpp
+++ b/src/balancer/endpoint_subset.cpp
@@ -10,7 +10,8 @@
 constexpr Millis kReuseInterval = 600;
 // Minimum number of endpoints in the subset.
 constexpr double kMinSubset = 12;
-// A connection is closed if the next request to its endpoint is not expected within this time.
+// Idle connections to an endpoint are closed if this sidecar's next request to the endpoint is expected only
+// after this time.
 constexpr Millis kConnectionReuse = 4000;
 
 }  // namespace
@@ -45,7 +46,8 @@
     double missing = all.empty() ? 0 : size() * table_.in_service_weight() / static_cast<double>(all.size());
     const std::size_t start =
         all.size() * (settings.sidecar_index % settings.sidecar_count) / settings.sidecar_count;
-    // The arc is extended to replace the capacity of ejected endpoints and the missing capacity of cold ones.
+    // Ejected endpoints stay in the arc without capacity, and cold ones with a part of their capacity. The
+    // arc is extended by as many endpoints as replace the missing capacity.
     for (std::size_t i = 0; i < all.size() && missing > 0; ++i) {
         EndpointRecord* endpoint = used.emplace_back(all[(start + i) % all.size()]);
         if (!endpoint->ejection.is_available()) continue;
--- a/src/balancer/endpoint_table.cpp
+++ b/src/balancer/endpoint_table.cpp
@@ -15,7 +15,8 @@
     const auto [entry, is_new] = records_.try_emplace(info.id);
     EndpointRecord& record = entry->second;
     if (is_new || info.started_at > record.info.started_at) {
-        // A new or restarted process: nothing is known about its failures or whether it can be reached.
+        // What is known about a previous process does not apply to a new or restarted one: ejection, evidence
+        // and reachability are reset. Suspicion and latency ratio are not reset.
         record.ejection.reset();
         record.evidence.reset();
         record.reachable = true;
--- a/src/balancer/endpoint_table.hpp
+++ b/src/balancer/endpoint_table.hpp
@@ -26,8 +26,8 @@
     Endpoint info;
     bool listed = true;
     int in_flight = 0;         ///< attempts of this sidecar in flight
-    double latency_ratio = 0;  ///< mean of recent responses; 0: not known
-    bool reachable = true;     ///< whether the last attempt to connect succeeded
+    double latency_ratio = 0;  ///< moving average over this sidecar's attempts; 0: not known
+    bool reachable = true;     ///< false from a connect failure until the next success
     EjectionState ejection;
     Suspicion suspicion;
     EvidenceState evidence;
--- a/src/balancer/endpoint_watch.cpp
+++ b/src/balancer/endpoint_watch.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-// Delay after the first failed call, and the longest delay; jitter multiplies each by 0.5 to 1.5. The
-// platform expects a sidecar to know a list change 6 s after discovery is reachable again. The longest delay
-// with jitter is half of that, which leaves the other half to the next call.
+// Delay after the first failed call, and the longest delay, both before jitter, which multiplies them by 0.5
+// to 1.5. The platform expects a sidecar to know a list change at the latest 6 s after discovery is reachable
+// again. The longest delay with jitter is half of these 6 s, which leaves the other half to the next call.
 constexpr Millis kFirstRetryDelay = 1000, kMaxRetryDelay = 2000;
 
 }  // namespace
@@ -30,9 +30,10 @@
     has_current_list_ = true;
 }
 
-// The longest delay before jitter. The platform expects a sidecar to know a list change four poll intervals
-// after a failed call. Jitter makes the delay at most half as long again, that is two poll intervals, which
-// leaves the other half of the time to the call.
+// The longest delay before jitter: 4/3 of the poll interval, but at most kMaxRetryDelay. The platform expects
+// a sidecar to know a list change at the latest four poll intervals after a failed call. Jitter makes the
+// delay at most half as long again, that is two poll intervals, which leaves two poll intervals to the next
+// call. Without a poll interval, only kMaxRetryDelay applies.
 Millis EndpointWatch::max_delay() const {
     const Millis poll_interval = context_.settings->poll_interval;
     if (poll_interval <= 0) return kMaxRetryDelay;
--- a/src/balancer/endpoint_watch.hpp
+++ b/src/balancer/endpoint_watch.hpp
@@ -18,7 +18,8 @@
     /// Sets the timer of the next call after a failed one. Jitter keeps the sidecars from retrying at the
     /// same time, since all of them call the same discovery service.
     void schedule_retry();
-    /// Must not be called for updates of kind failed.
+    /// A list has arrived: resets the backoff, unless the list is the cached one. Must not be called for
+    /// updates of kind failed.
     void list_received(EndpointUpdateKind kind);
     /// Whether a list has arrived in this run, other than the cached list.
     bool has_current_list() const { return has_current_list_; }
--- a/src/balancer/evidence_state.hpp
+++ b/src/balancer/evidence_state.hpp
@@ -1,5 +1,6 @@
 // Evidence about one endpoint: this sidecar's own recent outcomes (decaying counts), the reports of the other
-// sidecars, and the time of this sidecar's last report. SharedEvidence acts on it. Times are milliseconds.
+// sidecars, and the time of this sidecar's last report. SharedEvidence updates the evidence and acts on it.
+// Times are milliseconds.
 #pragma once
 
 #include <cmath>
@@ -10,19 +11,21 @@
 
 namespace ochregrade::detail {
 
-/// Number of direct reporters whose reports are acted on.
+/// Least number of sidecars that must report the same about an endpoint before this sidecar acts on the
+/// reports: the quorum. Reporters of failures count only if their reports are direct.
 constexpr std::uint32_t kEvidenceQuorum = 3;
 /// Time constant of the decaying counts: after this time an outcome has about a third (1/e) of its weight
 /// left.
 constexpr Millis kEvidenceDecay = 5000;
-/// Evidence that has not changed is published again after this time.
+/// Time since this sidecar's last report about a slow endpoint after which the next outcome there is
+/// published even if nothing has changed, because a report expires at the other sidecars after 10 s.
 constexpr Millis kRefreshInterval = 5000;
 /// The latency ratio above which an endpoint becomes slow, and the one down to which it stays slow.
 constexpr double kSlowRatio = 1, kNormalRatio = 0.8;
 
 class EvidenceState {
 public:
-    /// The sum of the other sidecars' reports.
+    /// The totals over the other sidecars' reports.
     const EndpointEvidence& fleet() const { return fleet_; }
     void set_fleet(const EndpointEvidence& evidence) { fleet_ = evidence; }
     bool is_reported_failing() const { return fleet_.reporters > 0; }
@@ -30,12 +33,13 @@
         return fleet_.latency_reporters >= kEvidenceQuorum && fleet_.latency_ratio > kSlowRatio;
     }
 
-    /// Whether the endpoint is draining or removed on the lists of other sidecars; it then gets no new
-    /// request.
+    /// Whether the endpoint gets no new request because a quorum of other sidecars reports it as draining or
+    /// removed. SharedEvidence limits the number of withdrawn endpoints.
     bool is_withdrawn() const { return withdrawn_; }
     void set_withdrawn(bool withdrawn) { withdrawn_ = withdrawn; }
 
-    /// This sidecar's own recent outcomes, as of the last decay. Late responses do not count as failures.
+    /// Decaying counts of this sidecar's own outcomes, as of the last call of count() or decay(). Late
+    /// responses count as successes.
     double successes() const { return successes_; }
     double failures() const { return failures_; }
     void count(Millis now, double successes, double failures) {
--- a/src/balancer/failure_gossip.cpp
+++ b/src/balancer/failure_gossip.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-// One sidecar in kSidecarsPerReport gets a report of each failure, but at most kMaxReports do. The maximum
-// keeps the number of messages that each sidecar sends and receives constant in a fleet of any size.
+// Each failure is reported to one sidecar in kSidecarsPerReport, but to at most kMaxReports sidecars. The
+// maximum bounds the number of messages that each sidecar sends and receives in a fleet of any size.
 constexpr std::uint32_t kSidecarsPerReport = 4;
 constexpr std::uint32_t kMaxReports = 88;
-// Number of failures from which an endpoint is suspected: an occasional failure is no reason to put load on
-// the other endpoints.
+// Decayed number of failures from which an endpoint is suspected: an occasional failure is no reason to put
+// more load on the other endpoints.
 constexpr double kMinSuspicion = 2;
 // Length of a message, which is an endpoint's id.
 constexpr std::size_t kMessageBytes = 4;
@@ -23,7 +23,9 @@
 double FailureGossip::suspicion(const EndpointRecord& endpoint) const {
     double failures = endpoint.suspicion.at(context_.now);
     const EndpointEvidence& evidence = endpoint.evidence.fleet();
-    // A quorum of direct reporters adds its number, multiplied by the share of failures among its outcomes.
+    // If there is a quorum of direct reporters, the suspicion grows by their number times the share of
+    // failures among the reported outcomes. One more failure is added to the counts, so that the share is
+    // never 0.
     if (evidence.direct_reporters >= kEvidenceQuorum)
         failures = std::min(kMaxSuspicion, failures + evidence.direct_reporters * (evidence.failures + 1.0) /
                                                           (evidence.failures + evidence.successes + 1.0));
--- a/src/balancer/latency_ratio.hpp
+++ b/src/balancer/latency_ratio.hpp
@@ -9,18 +9,18 @@
 
 namespace ochregrade::detail {
 
-/// The mean latency ratio that admission aims at: a higher target makes the slower responses late, a lower
-/// one leaves endpoints idle.
+/// The mean latency ratio that admission aims at. A higher target would make the slower responses late, a
+/// lower one would leave endpoints idle.
 constexpr double kTargetLatencyRatio = 0.55;
-/// The latency ratio of a timeout or of an attempt with outcome overloaded, and the upper bound of all
-/// others.
+/// The latency ratio of an attempt with outcome timeout or overloaded, and the upper bound of the latency
+/// ratio of all other attempts.
 constexpr double kMaxLatencyRatio = 1.5;
 
 /// Window of the exponential moving averages, in samples.
 constexpr int kSmoothingWindow = 20;
 
-/// Updates an exponential moving average with weight 2 / kSmoothingWindow: about the last half window of
-/// samples counts.
+/// Adds a sample to an exponential moving average. The weight of the sample is 2 / kSmoothingWindow, so that
+/// about the last half window of samples determines the average.
 inline void smooth(double& mean, double sample) { mean += (sample - mean) * 2 / kSmoothingWindow; }
 
 /// The latency ratio of an attempt; none if its outcome says nothing about the load.
--- a/src/balancer/load_reports.cpp
+++ b/src/balancer/load_reports.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-// Samples in a report.
+// Number of samples in a report.
 constexpr int kSamplesPerReport = 10;
-// One sidecar in kSidecarsPerReport gets a report, but at most kMaxReports do.
+// Each report goes to one sidecar in kSidecarsPerReport, but to at most kMaxReports sidecars.
 constexpr std::uint32_t kSidecarsPerReport = 16;
 constexpr std::uint32_t kMaxReports = 22;
 constexpr double kHundredths = 100;
--- a/src/balancer/load_reports.hpp
+++ b/src/balancer/load_reports.hpp
@@ -3,9 +3,9 @@
 // Input: latency ratios of this sidecar's responses, messages of peers. Output: messages of one byte, the
 // mean in hundredths; the latency ratios that peers report. Owns the samples of the report in preparation.
 //
-// The load of the pool shows in the responses to all sidecars. The few responses to a single sidecar with
-// sparse traffic vary at random, and a concurrency limit that followed them alone would reject requests for
-// which the pool has capacity.
+// The responses to all sidecars together show the load of the pool. The few responses to a single sidecar
+// with sparse traffic vary at random, and a concurrency limit that followed these few alone would reject
+// requests for which the pool has capacity.
 #pragma once
 
 #include <optional>
@@ -20,7 +20,8 @@
 public:
     LoadReports(Context& context, const EndpointSubset& subset) : context_(context), subset_(subset) {}
 
-    /// Adds a sample, and sends the report when it has enough samples.
+    /// Adds a sample to the report in preparation. A report of ten samples is sent if gossip is allowed and
+    /// this sidecar's traffic is sparse, else dropped.
     void record_latency_ratio(double ratio);
     /// The latency ratio that a peer reports; none for other messages, and none if this sidecar's own traffic
     /// is not sparse.
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -43,12 +43,12 @@
     return !state.is_available() && !(state.is_ejected_by_fleet() && context_.now >= state.backoff_until());
 }
 
-// Outcomes missing from a window that is not yet full count as successes. An endpoint that would be an
-// outlier even so is ejected without waiting for a full window, which with sparse traffic would take long.
+// Outcomes missing from a window that is not yet full count as successes. An endpoint that is an outlier even
+// then is ejected at once: with sparse traffic, it would take long until the window is full.
 bool OutlierDetection::is_outlier(const EndpointRecord& endpoint) const {
     const EjectionState& state = endpoint.ejection;
     const int max_successes = state.successes() + (kOutcomeWindow - state.outcomes());
-    // outlier_threshold() is never above kSuccessThreshold.
+    // outlier_threshold() is never above kSuccessThreshold, so that it need not be computed here.
     if (max_successes >= kOutcomeWindow * kSuccessThreshold) return false;
     return max_successes < kOutcomeWindow * outlier_threshold(endpoint);
 }
@@ -59,8 +59,8 @@
     return kSuccessThreshold * share - 3 * standard_error;
 }
 
-// Success share in the windows of all other available endpoints. Endpoints that other sidecars report as
-// failing are left out, unless they are the majority.
+// Success share over the windows of all other available endpoints; 1 if there are no outcomes. Endpoints that
+// other sidecars report as failing are left out, unless they are the majority.
 double OutlierDetection::success_share_of_others(const EndpointRecord& endpoint) const {
     double successes = 0, outcomes = 0, unreported_successes = 0, unreported_outcomes = 0;
     std::size_t available = 0, unreported = 0;
@@ -112,8 +112,9 @@
     return true;
 }
 
-// An endpoint whose backoff has expired but whose half-open trial has not succeeded is recorded as ejected
-// for 1 ms more, so that the next run starts with its trial, as this run would have.
+// An endpoint whose backoff has expired but whose half-open trial has not succeeded gets a remaining backoff
+// of 1 ms in its snapshot, because 0 means not ejected. A run that restores this value starts with the
+// endpoint's half-open trial, as this run would have.
 std::vector<EndpointSnapshot> OutlierDetection::snapshot() const {
     std::vector<EndpointSnapshot> snapshots;
     for (const auto& [id, endpoint] : table_.records()) {
--- a/src/balancer/outlier_detection.hpp
+++ b/src/balancer/outlier_detection.hpp
@@ -19,10 +19,11 @@
 public:
     OutlierDetection(Context& context, EndpointTable& table) : context_(context), table_(table) {}
 
-    /// trial: the attempt was the endpoint's half-open trial. late: the attempt exceeded its latency
-    /// objective and counts as a failure.
+    /// trial: the attempt was the endpoint's half-open trial. late: the attempt counts as a failure because
+    /// it took longer than its latency objective. The outcomes cancelled and not_sent count neither way.
     EjectionChange record_outcome(EndpointRecord& endpoint, bool trial, Outcome outcome, bool late);
-    /// Makes an ejected endpoint half-open; returns whether its next attempt is the half-open trial.
+    /// Makes an ejected endpoint half-open. Returns whether the attempt about to be sent is the half-open
+    /// trial: true if the endpoint was ejected.
     bool start_trial(EndpointRecord& endpoint) const;
     void eject(EndpointRecord& endpoint, EjectionCause cause);
 
@@ -30,19 +31,20 @@
     /// pool, and three quarters if the ejection is for slow responses, because under overload slow endpoints
     /// are still needed.
     bool may_eject(bool for_slowness) const;
-    /// Whether the endpoint counts against the panic threshold. An endpoint that was ejected on the evidence
-    /// of other sidecars counts only until its backoff expires: its half-open trial may never come, because
-    /// this sidecar may not use the endpoint.
+    /// Whether the endpoint counts as ejected for the panic threshold. An endpoint that was ejected on the
+    /// evidence of other sidecars counts only until its backoff expires. Its half-open trial may never come,
+    /// because this sidecar sends nothing to endpoints outside its subset.
     bool counts_as_ejected(const EndpointRecord& endpoint) const;
-    /// The success share below which an endpoint is an outlier: kSuccessThreshold times the success share of
-    /// the other endpoints, minus three standard errors of a window with that share. The comparison with the
-    /// others prevents an outage when a common cause slows all endpoints and every window has failures. If
-    /// the others have no failures, the result is kSuccessThreshold.
+    /// The success share of a window below which an endpoint is an outlier: kSuccessThreshold times the
+    /// success share of the other endpoints, minus three standard errors of the success share of a full
+    /// window. If the other endpoints have no failures, the result is kSuccessThreshold. The comparison with
+    /// the other endpoints prevents an outage: if a common cause slows all endpoints, every window has
+    /// failures.
     double outlier_threshold(const EndpointRecord& endpoint) const;
 
-    /// Ejects an endpoint that was ejected at the end of the previous run; returns whether it did. The panic
-    /// threshold applies and the backoff is at most kEjectionBackoff, because what this run has seen takes
-    /// precedence over data from disk.
+    /// Ejects an endpoint that its snapshot from the previous run has as ejected; returns whether it did. The
+    /// backoff is the remaining one of the snapshot, at most kEjectionBackoff. Data from disk may be wrong or
+    /// outdated: the panic threshold applies, so that restored ejections cannot empty the pool.
     bool restore(EndpointRecord& endpoint, const EndpointSnapshot& snapshot);
     std::vector<EndpointSnapshot> snapshot() const;
 
--- a/src/balancer/probe_races.cpp
+++ b/src/balancer/probe_races.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-// Probes are sent only while the on-time share of the attempts is between these two.
+// Probes are sent only while the on-time share of this sidecar's recent attempts is between these two shares.
 constexpr double kCollapsedShare = 0.7, kHealthyShare = 0.97;
 // Largest share of the late or failed attempts that a race can avoid.
 constexpr double kRaceGain = 0.5;
-// Most probe races for one attempt.
+// Maximum number of probe races for one attempt.
 constexpr int kMaxRounds = 2;
 
 }  // namespace
--- a/src/balancer/probe_races.hpp
+++ b/src/balancer/probe_races.hpp
@@ -1,11 +1,12 @@
 // Probe races: two idle endpoints are probed for a request, and the first one to respond gets the request.
 //
-// Input: two endpoints that are equal for the selector; ends of probes. Output: SendProbe actions, and the
-// request that a probe was sent for. Owns the requests that wait for probes, by endpoint.
+// Input: two endpoints without attempts in flight and with nearly the same suspicion; ends of probes. Output:
+// SendProbe actions, and the request that a probe was sent for. Owns the lists of the requests that wait for
+// probes, by endpoint.
 //
 // While some attempts fail or are late, a race avoids endpoints that are down, unreachable or overloaded. In
-// a collapsed pool no endpoint responds to probes in time, so that probes would only add cost. A race also
-// does not pay where the late responses that it avoids are worth less than the fees of its two probes.
+// a collapsed pool no endpoint responds to probes in time, so that probes would only add cost. A race is also
+// not worthwhile if the late or failed attempts that it avoids cost less than the fees of its two probes.
 #pragma once
 
 #include <optional>
@@ -30,8 +31,8 @@
     /// Removes and returns the request that has waited longest for a probe of this endpoint; none if no
     /// request waits.
     std::optional<RequestId> take_waiter(EndpointId endpoint);
-    /// Removes and returns all requests that wait for a probe of a removed endpoint, of which no probe will
-    /// end.
+    /// Removes and returns all requests that wait for a probe of this endpoint. Used for an endpoint that has
+    /// been erased, because the ends of its probes may never be reported.
     std::vector<RequestId> take_waiters(EndpointId endpoint);
 
 private:
--- a/src/balancer/request_scheduler.cpp
+++ b/src/balancer/request_scheduler.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Share of the latency objective for which a request may wait in the queue: after that, a retry by the client
-// has a better chance than further waiting.
+// Share of the latency objective for which a request may wait in the queue, from its arrival. After that
+// time, a client retry has a better chance than further waiting.
 constexpr double kMaxWaitShare = 1.0 / 16;
 // Shortest retry_after of a rejection.
 constexpr Millis kMinRetryAfter = 1;
@@ -24,7 +24,7 @@
     return request_class;
 }
 
-// The highest priority weight of all classes; 1 if all weights are 0.
+// The highest priority weight of all classes; 1 if all weights are 0, because the result is a divisor.
 double highest_priority_weight(const Settings& settings) {
     double highest = 0;
     for (const RequestClass& request_class : settings.classes)
@@ -63,8 +63,10 @@
     wait_for_endpoint(request);
 }
 
-// Queues a request that no endpoint can take now, or completes it if no endpoint will be able to take it in
-// time. The timer at the queue deadline completes a request that still waits then.
+// Queues a request that is not admitted or that no endpoint can take now. Completes the request instead if
+// its attempts are exhausted or its queue deadline has passed. Does nothing while the request has an attempt
+// in flight. At the queue deadline, a timer schedules a request that still waits, and the request is
+// completed if no endpoint can take it then.
 void RequestScheduler::wait_for_endpoint(Request& request) {
     if (request.any_in_flight()) return;
     if (RetryPolicy::are_attempts_exhausted(request)) return complete(request, EndReason::attempts_exhausted);
@@ -117,8 +119,9 @@
     parts_.requests.note_ended(request.id);
 }
 
-// Milliseconds until the client should retry: the mean response time, after which there should be capacity;
-// if no endpoint is available, the time until the first backoff expires.
+// Milliseconds until the client should retry, at least kMinRetryAfter. If an endpoint is available: the mean
+// response time (utilisation times latency objective), after which there should be capacity. If all endpoints
+// in service are ejected: the time until the first backoff expires. If none is in service: kEjectionBackoff.
 Millis RequestScheduler::retry_after(const Request& request) const {
     Millis first_trial = kEjectionBackoff;
     for (const EndpointRecord* endpoint : parts_.endpoints.in_service()) {
--- a/src/balancer/request_scheduler.hpp
+++ b/src/balancer/request_scheduler.hpp
@@ -33,7 +33,8 @@
     };
     explicit RequestScheduler(const Parts& parts) : parts_(parts) {}
 
-    /// Creates the record of a request and schedules its first attempt. An id already in use has no effect.
+    /// Creates the record of a request and schedules its first attempt. A request whose id is already in use
+    /// has no effect.
     void accept(const RequestArrived& arrived);
     /// Sends an attempt, starts a probe race, queues the request or completes it.
     void schedule(Request& request);
@@ -43,6 +44,7 @@
     /// A probe for the request has ended; endpoint is null if the probed endpoint should not get the request.
     void probe_ended(RequestId id, EndpointRecord* endpoint);
     /// Sends the only final response: a rejection if RetryPolicy::may_reject() permits it, else a failure.
+    /// Has no effect if the request has ended or a response is being streamed to the client.
     void complete(Request& request, EndReason reason);
     void cancel_attempts(const Request& request);
 
--- a/src/balancer/request_table.hpp
+++ b/src/balancer/request_table.hpp
@@ -43,16 +43,16 @@
     RequestId id = 0;
     SettingsPtr settings;                ///< settings that apply to the request until it ends
     RequestClass request_class;          ///< latency_objective includes the part for the request's effort
-    double highest_priority_weight = 1;  ///< of all classes
+    double highest_priority_weight = 1;  ///< of all classes of the request's settings; 1 if all are 0
     /// When the client stops waiting. Attempts run until this deadline and not only until the latency
-    /// objective: if the sidecar gave up at the objective, clients would retry requests on which an endpoint
-    /// is still working; a late response has as little value as a failure but causes no retry.
+    /// objective. A late response has as little value as a failure, but causes no retry: if the sidecar gave
+    /// up at the objective, clients would retry requests on which an endpoint is still working.
     Millis deadline = 0;
     bool client_retry = false;
     bool ended = false;      ///< the client has its final response or has disconnected
     bool streaming = false;  ///< a response is being streamed to the client
     bool queue_timer_set = false;
-    Millis queue_deadline = 0;  ///< a request that still waits for an endpoint at this time is rejected
+    Millis queue_deadline = 0;  ///< time after which the request no longer waits for an endpoint
     int pending_probes = 0;
     int probe_rounds = 0;  ///< probe races since the last attempt
     std::vector<Attempt> attempts;
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -7,13 +7,15 @@
 
 namespace {
 
-// Attempts that each request adds to the retry budget: in the long run a fifth more attempts than requests.
+// Retries that each request adds to the retry budget, which in the long run allows one retry for five
+// requests.
 constexpr double kRetriesPerRequest = 0.2;
-// Maximum of the retry budget, in attempts: the largest burst of retries.
+// Maximum of the retry budget, in retries: the largest burst that the budget allows.
 constexpr double kRetryBurst = 10;
-// The longest time for which the process may be stalled between a decision and its write to the socket.
+// The longest time for which the sidecar process may be stalled between the decision on an attempt and the
+// write to the socket.
 constexpr Millis kWriteDelay = 150;
-// Largest share of a short deduplication window that is given up for the write delay.
+// Largest share of a deduplication window that is given up for kWriteDelay; applies to short windows.
 constexpr double kMaxWriteDelayShare = 0.25;
 
 bool is_in_dedup_scope(DedupScope scope, const Attempt& attempt, const Endpoint& endpoint) {
--- a/src/balancer/retry_policy.hpp
+++ b/src/balancer/retry_policy.hpp
@@ -22,11 +22,12 @@
     /// Whether the request may be rejected: a rejection promises that the request has not run or that a
     /// repeat is harmless.
     bool may_reject(const Request& request) const;
-    /// The time until which a repeat may be sent: the endpoints still know the key of the first attempt that
-    /// may have run, with a margin for a late write. Infinite if the request has no key or certainly has not
-    /// run.
+    /// The time before which a repeat must be sent and written. Until then the endpoints know the key of the
+    /// first attempt that may have run, and a margin for a late write is left. Infinite if the request has no
+    /// idempotency key or certainly has not run.
     static Millis repeat_deadline(const Request& request);
-    /// Whether no further attempt will be permitted.
+    /// Whether no further attempt will be permitted, because the attempt limit is reached or because the
+    /// request is not idempotent and may have run. The deduplication window and scope are not checked.
     static bool are_attempts_exhausted(const Request& request);
 
     void record_request();
@@ -35,7 +36,7 @@
 
 private:
     const Context& context_;
-    double budget_;  // attempts
+    double budget_;  // in retries
 };
 
 }  // namespace ochregrade::detail
--- a/src/balancer/settings_validation.hpp
+++ b/src/balancer/settings_validation.hpp
@@ -6,7 +6,7 @@
 
 namespace ochregrade {
 
-/// Throws std::invalid_argument, which names the first invalid setting.
+/// Throws std::invalid_argument if a setting is invalid; the message names the first invalid setting.
 void validate(const Settings& settings);
 
 }  // namespace ochregrade
--- a/src/balancer/shared_evidence.cpp
+++ b/src/balancer/shared_evidence.cpp
@@ -7,18 +7,22 @@
 
 namespace {
 
-// Largest share of the endpoint list that is excluded on the evidence of other sidecars alone; at least one
-// endpoint may be.
+// Cap on the endpoints that are excluded on the evidence of other sidecars alone, as a share of the endpoint
+// list. The cap applies to ejected and to withdrawn endpoints separately; it is at least one endpoint of
+// each.
 constexpr double kMaxExcludedShare = 0.1;
-// Number of this sidecar's own recent successes that overrule the other sidecars' reports of failures.
+// Number of this sidecar's own recent successes (decayed) that overrule the other sidecars' reports of
+// failures, if the success share of its own outcomes is at least kSuccessThreshold.
 constexpr double kConfirmingSuccesses = 3;
 // Shortest time between two published reports of failures at an endpoint.
 constexpr Millis kFailureInterval = 500;
 // Shortest time between two published reports of successes at an endpoint that others report as failing.
 constexpr Millis kSuccessInterval = 2000;
-// Such successes are no longer published once the fleet has reported this many.
+// Number of successes in the other sidecars' reports from which this sidecar no longer publishes its own
+// successes at an endpoint that others report as failing.
 constexpr std::uint32_t kEnoughSuccesses = 3 * kOutcomeWindow;
-// Half-open trials that a recovery at another sidecar brings forward are spread at random over this time.
+// A recovery at another sidecar brings this sidecar's half-open trial forward to a random time within this
+// span.
 constexpr Millis kTrialSpread = 2000;
 
 }  // namespace
@@ -27,8 +31,8 @@
     if (!context_.settings->evidence_shared) return;
     EvidenceState& evidence = endpoint.evidence;
     const bool recovered = reason == PublishReason::recovered;
-    // A fact that enough other sidecars report already is not published by hundreds more. A sidecar that has
-    // published within the last backoff still updates its report.
+    // If enough other sidecars report the same already, this sidecar does not publish: otherwise hundreds of
+    // sidecars would. A sidecar that has published within the last kEjectionBackoff still updates its report.
     const bool widely_reported = recovered ? evidence.fleet().recoveries >= kEvidenceQuorum
                                            : evidence.fleet().direct_reporters >= 2 * kEvidenceQuorum;
     if (widely_reported && context_.now >= evidence.published_at() + kEjectionBackoff) return;
@@ -84,15 +88,15 @@
             endpoint.listed && state.fleet().withdrawals >= kEvidenceQuorum && is_within_cap(withdrawn_count);
         state.set_withdrawn(withdrawn);
         withdrawn_count += withdrawn;
-        // Successes before the first report of failures do not contradict the report.
+        // Own successes before the first report of failures do not contradict the report.
         if (!was_reported && state.is_reported_failing() && state.failures() < 1) state.clear_successes();
     }
 }
 
 void SharedEvidence::apply(EndpointRecord& endpoint) {
     EjectionState& ejection = endpoint.ejection;
-    // A recovery at another sidecar only brings this sidecar's own half-open trial forward. The random time
-    // keeps the sidecars' trials apart.
+    // A recovery at another sidecar does not end this sidecar's ejection, but brings its half-open trial
+    // forward. The random time keeps the trials of the sidecars apart.
     if (ejection.is_ejected() && endpoint.evidence.fleet().recoveries > 0 &&
         ejection.backoff_until() > context_.now + kTrialSpread)
         ejection.set_backoff_until(context_.now + kTrialSpread * context_.random.unit());
--- a/src/balancer/shared_evidence.hpp
+++ b/src/balancer/shared_evidence.hpp
@@ -1,14 +1,15 @@
 // Shared evidence: publishes this sidecar's evidence about endpoints and acts on the reports of the others.
 //
-// Input: this sidecar's outcomes, ejections and recoveries; the fleet's evidence (counts of the last 10 s).
+// Input: this sidecar's outcomes, ejections and recoveries; the fleet's evidence (reports of the last 10 s).
 // Output: PublishEvidence actions, ejections on a quorum of reports, half-open trials brought forward,
 // withdrawn endpoints. Owns the evidence state in the endpoint records. Source: Envoy's max_ejection_percent
 // for the cap.
 //
 // All sidecars together fill a window of outcomes quickly, whereas a single sidecar may take minutes. Each
-// sidecar therefore publishes its outcomes at an endpoint that fails or that others report, and compares the
-// sum of all reports with the outlier threshold. A sidecar's own recent outcomes take precedence over the
-// reports of the others, and an ejection is followed by the sidecar's own backoff and half-open trial.
+// sidecar therefore publishes its outcomes at an endpoint that fails, is slow or is reported as failing by
+// others, and compares the totals of all reports with the outlier threshold. A sidecar's own recent outcomes
+// take precedence over the reports of the others, and an ejection is followed by the sidecar's own backoff
+// and half-open trial.
 #pragma once
 
 #include "balancer/context.hpp"
--- a/src/balancer/slow_start.hpp
+++ b/src/balancer/slow_start.hpp
@@ -6,9 +6,10 @@
 // after slow_start_duration).
 //
 // Each sidecar draws at random whether a request may go to a cold endpoint. The requests of any number of
-// sidecars then add up to the endpoint's share, whereas a minimum or a token bucket in each of a thousand
-// sidecars would overload the endpoint. The admission probability is multiplied by the completed share of
-// this sidecar's recent attempts, because a storm of retries is many times the load that endpoints can serve.
+// sidecars then add up to the endpoint's slow-start share, whereas a guaranteed minimum or a token bucket in
+// each of a thousand sidecars would overload the endpoint. The admission probability is multiplied by the
+// completed share of this sidecar's recent attempts: where attempts fail, the retries add up to many times
+// the load that endpoints can serve.
 #pragma once
 
 #include <algorithm>
@@ -42,8 +43,8 @@
     }
     /// The admission probability; may exceed 1.
     double admission_probability(const EndpointRecord& endpoint) const {
-        // An endpoint that responds in time gets more than its slow-start share: most endpoints warm up
-        // faster than the platform's rule states.
+        // An endpoint whose latency ratio is on target gets more than its slow-start share, because most
+        // endpoints warm up faster than the platform's rule states.
         const bool on_time = endpoint.latency_ratio > 0 && endpoint.latency_ratio <= kTargetLatencyRatio;
         const double multiple =
             on_time ? std::max(1.0, kOverloadFactorShare * context_.settings->slow_start_overload_factor) : 1;
