--- a/bench/module_bench.cpp
+++ b/bench/module_bench.cpp
@@ -1,5 +1,6 @@
-// Benchmarks of the decision library by the length of the endpoint list: the handling of a request, with and
-// without a retry, and a change of the list. docs/LIMITS.md describes how to build and run them.
+// Benchmarks of the decision library, each for several lengths of the endpoint list: the handling of a
+// request, with and without a retry, and a change of the list. docs/LIMITS.md describes how to build and run
+// the benchmarks.
 #include <benchmark/benchmark.h>
 
 #include "ochregrade/balancer.hpp"
@@ -36,8 +37,8 @@
         s.gossip_allowed = true;
         return s;
     }
-    // Handles a request from its arrival to its response; unless good, the first attempt fails and is
-    // retried.
+    // Handles a request from its arrival to its response. If `good` is false, the first attempt fails and the
+    // request is retried.
     void request(bool good) {
         RequestArrived arrived;
         arrived.id = ++last_id;
--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the balancer, one behaviour per test; a test fails if its behaviour is removed from the library.
+// Tests of the complete balancer, one behaviour per test: a test fails if the library lacks its behaviour.
 #include <cmath>
 #include <stdexcept>
 
@@ -15,7 +15,8 @@
     return fixture;
 }
 
-// Returns the number of attempts at `failing` endpoints, which end with `outcome`; all others succeed.
+// Sends requests one after another. Attempts at endpoints in `failing` end with `outcome`, all others with
+// success, each after `duration`. Returns the number of attempts at endpoints in `failing`.
 int run_requests(BalancerFixture& fixture, int requests, const std::set<EndpointId>& failing, Outcome outcome,
                  Millis duration = 10) {
     int attempts = 0;
@@ -68,7 +69,7 @@
 TEST(OutlierDetection, ResponsesPastTheLatencyObjectiveCountAsFailures) {
     BalancerFixture fixture = pool(8);
     for (int round = 0; round < 20 && fixture.ejection_count() == 0; ++round) {
-        const auto ids = fixture.burst(32, 5000);  // several at each endpoint at once
+        const auto ids = fixture.burst(32, 5000);  // several attempts at each endpoint at once
         fixture.now += 10;
         for (const RequestId id : ids)
             if (fixture.in_flight(id) && fixture.endpoint_of(id) != 1) fixture.end(id, Outcome::success, 0);
@@ -242,13 +243,13 @@
 
 TEST(AdmissionControl, SlowResponsesBoundTheRequestsInFlight) {
     BalancerFixture fixture = pool(4);
-    for (int i = 0; i < 60; ++i) fixture.complete_all(fixture.burst(40, 5000), 600);  // 1.5 x objective
+    for (int i = 0; i < 60; ++i) fixture.complete_all(fixture.burst(40, 5000), 600);  // 1.5 objectives
     const auto ids = fixture.burst(200, 5000);
     EXPECT_LT(fixture.count_in_flight(ids), 100);
     EXPECT_GE(fixture.count_in_flight(ids), 1) << "admission never rejects everything";
 }
 
-// retry_after is about a response time under overload, and the backoff if no endpoint is available.
+// retry_after is about the mean response time under overload, and 10 s if no endpoint is in service.
 TEST(AdmissionControl, ARejectionHasARetryAfterTime) {
     BalancerFixture crowd = pool(4);
     for (int i = 0; i < 60; ++i) crowd.complete_all(crowd.burst(40, 5000), 600);
--- a/tests/balancer/endpoint_selector_test.cpp
+++ b/tests/balancer/endpoint_selector_test.cpp
@@ -10,7 +10,8 @@
 struct SelectorFixture : ModuleFixture {
     explicit SelectorFixture(const Settings& settings = make_settings()) : ModuleFixture(settings) {}
 
-    /// Number of times each endpoint is selected in the given number of selections for new requests.
+    /// The number of times that each endpoint is selected, by endpoint, in `times` selections for new
+    /// requests.
     std::map<EndpointId, int> select_many(int times) {
         std::map<EndpointId, int> counts;
         for (int i = 0; i < times; ++i) {
@@ -57,7 +58,7 @@
     SelectorFixture fixture(settings);
     fixture.list(2);
     fixture.endpoint(1).latency_ratio = 0.5;
-    fixture.admission.record_peer_latency_ratio(0.5);  // utilisation above 0
+    fixture.admission.record_peer_latency_ratio(0.5);  // raises the utilisation above 0
     EXPECT_EQ(fixture.select_many(50)[1], 50);
 }
 
--- a/tests/balancer/endpoint_table_test.cpp
+++ b/tests/balancer/endpoint_table_test.cpp
@@ -31,7 +31,7 @@
     EXPECT_EQ(fixture.table.find(2), nullptr);
 }
 
-TEST(EndpointTable, ARestartedEndpointStartsWithAnEmptyRecord) {
+TEST(EndpointTable, ARestartEndsTheEjectionAndEmptiesTheWindow) {
     ModuleFixture fixture;
     fixture.list(1, 1000);
     fixture.endpoint(1).ejection.record(false);
@@ -42,7 +42,7 @@
 }
 
 TEST(EndpointTable, CapacityCountsTheSlowStartShareOfColdEndpoints) {
-    ModuleFixture fixture;  // slow-start share from 0.2, full after 20 s
+    ModuleFixture fixture;  // slow-start share: 0.2 at the start, 1 after 20 s
     const AttemptStatistics statistics;
     const SlowStart slow_start(fixture.context, statistics);
     fixture.list(2);
--- a/tests/balancer/fleet_gossip_test.cpp
+++ b/tests/balancer/fleet_gossip_test.cpp
@@ -10,8 +10,9 @@
     return fixture;
 }
 
-// Runs a sidecar with low traffic in a fleet of `sidecar_count`; all its attempts end with `outcome`. Returns
-// the messages of `length` bytes that the sidecar sends, each with the receiving peer.
+// Runs a sidecar with low traffic in a fleet of `sidecar_count` sidecars. All its attempts end with
+// `outcome`. Returns the messages of `length` bytes that the sidecar sends, each with the index of the
+// receiving peer.
 std::vector<std::pair<std::uint32_t, std::vector<std::uint8_t>>> gossip_sent(
     bool gossip_allowed, Outcome outcome, std::size_t length = 4, std::uint32_t sidecar_count = 160) {
     Settings s = make_settings({make_class(Idempotency::not_idempotent)});
@@ -68,7 +69,7 @@
     EXPECT_TRUE(gossip_sent(false, Outcome::success, 1).empty()) << "gossip is not allowed";
 }
 
-// Traffic of one sidecar among many: no outcome window fills within a backoff.
+// Time between requests of one sidecar among many (ms): no outcome window fills within an ejection backoff.
 constexpr Millis kLowTrafficInterarrival = 100;
 
 int sent_to(BalancerFixture& fixture, EndpointId server, int requests) {
@@ -102,8 +103,9 @@
     EXPECT_GT(sent_to(fixture, 4, 100), 0);
 }
 
-// An endpoint that does not respond can have the fewest attempts in flight. If the attempts in flight alone
-// decided, such an endpoint would get more requests than the others.
+// The requests of this test never end, and a suspected endpoint soon has fewer attempts in flight than the
+// others. If these numbers alone decided, the suspected endpoint would get requests until it has as many as
+// the others.
 TEST(FailureGossip, ASuspectedEndpointIsSeldomDrawn) {
     const auto in_flight = [](int messages) {
         BalancerFixture fixture = sidecar_with_reports(10, 4, messages);
@@ -117,8 +119,8 @@
     EXPECT_LE(in_flight(8), 2);
 }
 
-// The mean of ten responses of a single sidecar varies at random. The reports of its peers must lower and
-// raise its concurrency limit.
+// The mean latency ratio of ten responses to a single sidecar varies at random. The reports of peers must
+// therefore also lower and raise the concurrency limit of the sidecar.
 TEST(LoadReports, PeersReportsMoveTheConcurrencyLimit) {
     const auto admitted = [](std::uint8_t reported_ratio) {
         BalancerFixture fixture = sidecar_with_reports(10, 4, 0);
--- a/tests/balancer/fleet_probe_race_test.cpp
+++ b/tests/balancer/fleet_probe_race_test.cpp
@@ -64,7 +64,7 @@
 }
 
 // Both probed endpoints are removed before they respond. Their probes never end, and the request must not
-// wait for them until its deadline.
+// wait for these probes until its deadline.
 TEST(ProbeRace, EndpointsRemovedBeforeTheyRespondAreReplaced) {
     BalancerFixture fixture = sidecar_with_failures();
     const RequestId id = fixture.request();
--- a/tests/balancer/fleet_subset_test.cpp
+++ b/tests/balancer/fleet_subset_test.cpp
@@ -5,8 +5,8 @@
 namespace ochregrade::test {
 namespace {
 
-// The endpoints to which one of a hundred sidecars sends requests, with sixty endpoints and a request every
-// `interarrival` ms.
+// The endpoints to which the sidecar `index` of a hundred sidecars sends its requests 101 to 600, with sixty
+// endpoints and a request every `interarrival` ms. Requests to the endpoints in `failing` fail.
 std::set<EndpointId> used_endpoints(std::uint32_t index, Millis interarrival,
                                     const std::set<EndpointId>& failing = {}) {
     Settings s = make_settings({make_class(Idempotency::not_idempotent)});
--- a/tests/balancer/fleet_test.cpp
+++ b/tests/balancer/fleet_test.cpp
@@ -7,9 +7,9 @@
 namespace ochregrade::test {
 namespace {
 
-// Many sidecars with low traffic use the same warm endpoints and one cold endpoint of the given age. Each
-// sidecar sends a few requests, which complete at once. Returns the attempts at the cold endpoint divided by
-// the mean attempts at a warm one.
+// All `sidecars` use the same `warm` endpoints and one cold endpoint, which started `age` ms ago. Each
+// sidecar sends `requests_each` requests, which complete after 0.25 ms. Returns the number of attempts at the
+// cold endpoint divided by the mean number of attempts at a warm endpoint.
 double new_endpoint_share(std::uint32_t sidecars, int requests_each, EndpointId warm, Millis age) {
     double cold = 0, others = 0;
     for (std::uint32_t n = 0; n < sidecars; ++n) {
@@ -30,7 +30,8 @@
 }
 
 TEST(SlowStart, TheShareHoldsFromOneSidecarToAThousand) {
-    // The slow-start share is 0.2 at first; winning ties raises it to at most twice that.
+    // The slow-start share is 0.2 at first. The cold endpoint may win ties between drawn endpoints, which at
+    // most doubles its share to 0.4.
     for (const auto& [sidecars, each] : {std::pair{1u, 4000}, {30u, 150}, {1000u, 4}}) {
         const double part = new_endpoint_share(sidecars, each, 40, 0);
         EXPECT_GT(part, 0.1) << sidecars;
@@ -54,7 +55,8 @@
 }
 
 TEST(EndpointSelection, LowTrafficSidecarsFollowTheCapacityWeight) {
-    // No sidecar has attempts in flight, so only the weighted draw can protect endpoints of low capacity.
+    // No sidecar has an attempt in flight when it selects an endpoint, so that only the weighted draw can
+    // protect endpoints of low capacity.
     std::map<EndpointId, double> load;
     for (std::uint64_t n = 1; n <= 1000; ++n) {
         Settings settings = make_settings({make_class(Idempotency::not_idempotent)});
@@ -87,8 +89,8 @@
     EXPECT_EQ(used.size(), 3U);
 }
 
-// Whether the idle connection to an endpoint is closed after the last response, with `servers` endpoints and
-// a request every `interarrival` ms.
+// Whether the balancer closes the idle connections to an endpoint after the last of 60 responses, with
+// `servers` endpoints and a request every `interarrival` ms.
 bool closes_idle_connections(EndpointId servers, Millis interarrival) {
     BalancerFixture fixture(make_settings({make_class(Idempotency::not_idempotent)}));
     fixture.list(EndpointUpdateKind::full, make_endpoints(servers));
@@ -107,8 +109,8 @@
     EXPECT_FALSE(closes_idle_connections(5, 500));
 }
 
-// Number of attempts in flight after a burst of 40 requests, just after the list has shrunk from twenty
-// endpoints to `left`.
+// The endpoint list shrinks from twenty endpoints to `left`, and a burst of 40 requests follows at once.
+// Returns the number of requests of the burst that have an attempt in flight.
 int admitted_after_list_drop(EndpointId left) {
     Settings s = make_settings({make_class(Idempotency::not_idempotent)});
     s.sidecar_count = 100;
@@ -128,9 +130,9 @@
     EXPECT_LE(admitted_after_list_drop(10), 4) << "four attempts were in flight with twenty endpoints";
 }
 
-// Number of attempts in flight after a burst of 40 requests, when `refusing` of twenty listed endpoints have
-// refused connections for 2 s. With `back`, these endpoints have accepted connections again for 15 s before
-// the burst.
+// The endpoints 1 to `refusing` of twenty listed endpoints refuse connections for 2 s. With `back`, they then
+// accept connections again for 15 s. A burst of 40 requests follows. Returns the number of requests of the
+// burst that have an attempt in flight.
 int admitted_after_connect_failures(EndpointId refusing, bool back) {
     Settings s = make_settings({make_class(Idempotency::not_idempotent)});
     s.sidecar_count = 100;
@@ -144,14 +146,15 @@
         const RequestId id = fixture.request(0, 60000);
         while (down && fixture.in_flight(id) && fixture.endpoint_of(id) <= refusing)
             fixture.end(id, Outcome::connect_failure, 0);
-        all.push_back(id);  // may wait in the queue and be sent later
+        all.push_back(id);  // the request may wait in the queue and be sent later
         if (i >= 3 && fixture.in_flight(all[i - 3])) fixture.end(all[i - 3], Outcome::success, 0);
     }
     return fixture.count_in_flight(fixture.burst(40, 60000));
 }
 
-// The load of an endpoint that refuses connections moves to the other endpoints seconds before the list
-// changes. Without a lower limit, the other endpoints would be overloaded until then.
+// The load of an endpoint that refuses connections moves to the other endpoints seconds before the endpoint
+// list changes. If the concurrency limit did not fall, the other endpoints would be overloaded until the list
+// changes.
 TEST(AdmissionControl, TheLimitShrinksWithEndpointsThatRefuseConnections) {
     EXPECT_EQ(admitted_after_connect_failures(0, false), 40);
     EXPECT_LE(admitted_after_connect_failures(6, false), 1)
--- a/tests/balancer/module_fixture.hpp
+++ b/tests/balancer/module_fixture.hpp
@@ -38,7 +38,7 @@
     detail::EndpointTable table;
 };
 
-/// A request of class 0, ten seconds before its deadline, without attempts.
+/// A request of class 0 without attempts, whose deadline is in ten seconds.
 inline detail::Request make_request(const ModuleFixture& fixture, RequestId id = 1) {
     detail::Request request;
     request.id = id;
--- a/tests/balancer/replay_draws.hpp
+++ b/tests/balancer/replay_draws.hpp
@@ -8,8 +8,8 @@
 
 namespace ochregrade::test {
 
-// Draws made directly from a standard engine, because the standard distributions differ between
-// implementations.
+// Random values, computed directly from the output of a standard engine, because the standard distributions
+// differ between implementations of the library.
 class RandomDraws {
 public:
     explicit RandomDraws(std::uint64_t seed) : engine_(seed) {}
--- a/tests/balancer/replay_runs.cpp
+++ b/tests/balancer/replay_runs.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 // A simulated run of one sidecar: endpoints that fail, slow down, restart and are removed, clients that
-// disconnect, timers, probes, endpoint lists and gossip. A queue of events in time order drives the run; the
-// balancer's actions schedule further events.
+// disconnect, timers, probes, endpoint lists and gossip. The run handles the events of a queue in the order
+// of their times. The balancer's actions add further events to the queue.
 class SimulatedRun {
 public:
     explicit SimulatedRun(std::uint64_t seed)
@@ -47,7 +47,7 @@
     };
     struct ScheduledEvent {
         Kind kind = Kind::timer;
-        std::uint64_t id = 0;  // of a request, a timer or an endpoint
+        std::uint64_t id = 0;  // id of the request, timer or endpoint
         std::uint32_t attempt = 0;
         Outcome outcome = Outcome::success;
         Millis duration = 0;
--- a/tests/balancer/replay_test.cpp
+++ b/tests/balancer/replay_test.cpp
@@ -1,8 +1,8 @@
 // Regression test of the decision library: replays seeded runs of one sidecar and compares one hash per run,
 // over all events, times and actions, with replay_hashes.txt. The hashes were recorded before the library was
-// split into modules; a different hash means that a decision, a floating-point result or a random draw has
-// changed. With REPLAY_RECORD=FILE the test writes the hashes of this build to FILE instead of comparing
-// them.
+// split into modules. A different hash means that a decision, a floating-point result or a random draw has
+// changed. With REPLAY_RECORD=FILE in the environment, the test writes the hashes of this build to FILE and
+// compares nothing.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
--- a/tests/balancer/retry_policy_test.cpp
+++ b/tests/balancer/retry_policy_test.cpp
@@ -62,7 +62,8 @@
 }
 
 TEST(RetryPolicy, ARepeatWithAKeyStaysInItsDedupScope) {
-    RetryFixture fixture(Idempotency::idempotent_with_key, DedupScope::zone);  // zone is id % 3
+    // make_endpoints() sets an endpoint's zone to its id modulo 3.
+    RetryFixture fixture(Idempotency::idempotent_with_key, DedupScope::zone);
     fixture.add_attempt(1);
     EXPECT_TRUE(fixture.policy.may_send(fixture.request, fixture.endpoint(4)));
     EXPECT_FALSE(fixture.policy.may_send(fixture.request, fixture.endpoint(2)));
@@ -74,7 +75,7 @@
     int retries = 0;
     for (; !policy.is_budget_exhausted(); ++retries) policy.record_retry();
     EXPECT_EQ(retries, 10);
-    for (int i = 0; i < 6; ++i) policy.record_request();  // 5 suffice; the sixth covers rounding
+    for (int i = 0; i < 6; ++i) policy.record_request();  // five add up to 1; the sixth makes up for rounding
     EXPECT_FALSE(policy.is_budget_exhausted());
     policy.record_retry();
     EXPECT_TRUE(policy.is_budget_exhausted());
--- a/tests/balancer/rules_test.cpp
+++ b/tests/balancer/rules_test.cpp
@@ -1,6 +1,6 @@
-// Checks rules 1 to 3 on every action over random but legal sequences of events, and in single cases in which
-// an implementation would easily break one of the rules. Outcomes are drawn at random; no endpoint is
-// modelled.
+// Checks rules 1 to 3 (balancer_fixture.hpp) on every action, over random but legal sequences of events and
+// in single cases in which an implementation would easily break one of the rules. Outcomes are drawn at
+// random; no endpoint is modelled.
 #include "support/balancer_fixture.hpp"
 
 namespace ochregrade::test {
@@ -66,7 +66,7 @@
     for (int i = 0; i < steps; ++i) {
         const std::uint32_t what = random.below(100);
         if (what < 45) {
-            fixture.request(random.below(6), 20 + random.below(1500));  // class 5 is unknown
+            fixture.request(random.below(6), 20 + random.below(1500));  // class 5 does not exist
         } else if (what < 85) {
             end_random_attempt(fixture, random);
         } else if (what < 88) {
@@ -78,7 +78,7 @@
                 at->second.client_disconnected = true;
                 fixture.handle_event(ClientDisconnected{at->first});
             }
-        } else if (what < 92) {  // any probe result and any message of a peer may arrive
+        } else if (what < 92) {  // probe results and messages of peers may arrive at any time
             const Outcome outcomes[] = {Outcome::success, Outcome::timeout, Outcome::overloaded};
             for (EndpointId s = 1; s <= 10; ++s)
                 if (random.below(2))
@@ -88,7 +88,8 @@
         } else {
             fixture.advance(random.below(what == 99 ? 4000 : 60));
         }
-        for (auto at = fixture.requests.begin(); at != fixture.requests.end();)  // keeps the test fast
+        // Erases the ended requests, which keeps the test fast.
+        for (auto at = fixture.requests.begin(); at != fixture.requests.end();)
             at = fixture.is_ended(at->second) && !fixture.in_flight(at->first) ? fixture.requests.erase(at)
                                                                                : std::next(at);
     }
@@ -105,8 +106,9 @@
     }
 }
 
-// Settings with classes in another order and number and with other limits. A balancer that applied them to a
-// request that arrived under earlier settings would repeat requests that must not run twice.
+// Settings with request classes in another order and number and with other limits than all_classes(). A
+// balancer that applied these settings to a request that arrived under earlier settings would repeat requests
+// that must not run twice.
 Settings random_settings(RandomNumbers& random) {
     Settings s = all_classes(random.below(2));
     for (std::size_t i = s.classes.size(); i > 1; --i)
@@ -150,7 +152,7 @@
     ASSERT_EQ(snapshot.at(0).endpoint, 1U);
     EXPECT_GT(snapshot[0].ejected_for, 0);
     EXPECT_LE(snapshot[0].ejected_for, 10000);
-    snapshot[0].ejected_for = 1e9;  // invalid data from disk: limited to a backoff
+    snapshot[0].ejected_for = 1e9;  // invalid data from disk: cut to a backoff of 10 s
     BalancerFixture next(all_classes(false), 5);
     next.list(EndpointUpdateKind::cached, make_endpoints(4));
     next.handle_event(StateRestored{snapshot});
@@ -215,9 +217,11 @@
     EXPECT_EQ(fixture.current_settings, good);
 }
 
-// The platform expects a sidecar to know a list change 6 s after discovery has it and is reachable, however
-// long discovery was unreachable before. A backoff without a bound would exceed that time. However many calls
-// have failed, the delay leaves half of the time to the next call.
+// The platform expects a sidecar to know a list change at the latest 6 s after discovery has the change and
+// is reachable, however long discovery was unreachable before. If the poll interval is set, the time is four
+// poll intervals if that is less. A backoff without a bound would exceed this time. However many calls have
+// failed, the delay before the next call is at most half of this time, which leaves the other half to the
+// call.
 TEST(EndpointDiscovery, ThePollIntervalBoundsTheBackoffAfterFailedCalls) {
     for (const Millis poll_interval : {100.0, 1000.0, 10000.0, 0.0})
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -339,8 +343,9 @@
     }
 }
 
-// The process may be stalled for 0.15 s between the decision and the write. A retry that is decided on just
-// before the deduplication window expires could then be written after it and run twice.
+// The sidecar process may be stalled for 0.15 s (kHeldUp) between the decision to retry and the write. A
+// request whose retry is decided on just before its deduplication window expires could then be written after
+// the window, and run twice.
 TEST(Idempotency, ARequestWithAKeyIsNotRetriedAtTheEndOfItsWindow) {
     constexpr Millis kWindow = 2000, kHeldUp = 150;
     for (const Millis before_the_end : {kHeldUp - 10, kHeldUp + 10}) {
--- a/tests/balancer/shared_evidence_test.cpp
+++ b/tests/balancer/shared_evidence_test.cpp
@@ -34,8 +34,8 @@
         return {};
     }
     std::size_t ejected() const { return balancer.usage().ejected; }
-    // Sends requests until one goes to `server`; that attempt ends with `outcome`, all others succeed.
-    // Returns whether `server` was selected.
+    // Sends at most `requests` requests, until one goes to `server`. That attempt ends with `outcome`, all
+    // others with success. Returns whether `server` was selected.
     bool send_until_selected(EndpointId server, Outcome outcome, int requests = 400) {
         for (int i = 0; i < requests; ++i) {
             advance(20);
@@ -145,7 +145,7 @@
     for (int i = 0; i < 4; ++i) ASSERT_TRUE(fixture.send_until_selected(server, Outcome::success));
     fixture.receive_evidence(server, 8, 40);
     EXPECT_EQ(fixture.ejected(), 0U);
-    // Successes before the first report of failures do not contradict the reports.
+    // The sidecar's own successes before the first report of failures do not contradict the reports.
     FleetEvidenceFixture before;
     const EndpointId other = before.send_one();
     for (int i = 0; i < 4; ++i) ASSERT_TRUE(before.send_until_selected(other, Outcome::success));
@@ -211,7 +211,7 @@
     EXPECT_FALSE(fixture.send_until_selected(server, Outcome::success, 200));
     fixture.receive_evidence(std::vector<EndpointEvidence>{});
     EXPECT_TRUE(fixture.send_until_selected(server, Outcome::success));
-    // At most a tenth of the list is withdrawn: false reports must not exclude more endpoints.
+    // False reports about all endpoints withdraw at most a tenth of the list.
     std::vector<EndpointEvidence> all;
     for (EndpointId id = 1; id <= kServers; ++id) all.push_back({id, 0, 0, 0, 0, 50, 0, 0, 0});
     fixture.receive_evidence(all);
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -11,7 +11,7 @@
 protected:
     SlowStartTest() { fixture.list(1, fixture.context.now); }
 
-    ModuleFixture fixture;  // slow-start share from 0.2, full after 20 s
+    ModuleFixture fixture;  // slow-start share: 0.2 at the start, 1 after 20 s
     AttemptStatistics statistics;
     SlowStart slow_start{fixture.context, statistics};
 };
--- a/tests/support/balancer_fixture.hpp
+++ b/tests/support/balancer_fixture.hpp
@@ -54,7 +54,7 @@
         int final_responses = 0;
         bool client_disconnected = false;
         bool rejected = false;
-        SettingsPtr settings{};  // in force when the request arrived; its actions are checked against them
+        SettingsPtr settings{};  // the settings under which the request arrived and is checked
     };
 
     Settings settings;             // the settings in force
@@ -62,7 +62,7 @@
     Balancer balancer;
     Millis now = 100000;
     std::map<RequestId, TrackedRequest> requests;
-    std::map<EndpointId, Endpoint> servers;  // as in the last endpoint updates
+    std::map<EndpointId, Endpoint> servers;  // the endpoints as of the last endpoint update
     std::multimap<Millis, TimerToken> timers;
     std::vector<Action> last;  // actions of the last event
     RequestId next_id = 1;
@@ -99,7 +99,8 @@
         handle_event(RequestArrived{id, class_index, time_left, 0, repeat});
         return id;
     }
-    // A request that the sidecar started to read before the settings changed.
+    // Delivers a request that the sidecar started to read under `arrival_settings`, before the settings
+    // changed.
     RequestId request_under(const SettingsPtr& arrival_settings, std::uint32_t class_index,
                             Millis time_left = 1000) {
         const RequestId id = next_id++;
@@ -124,14 +125,15 @@
         return static_cast<int>(
             std::count_if(ids.begin(), ids.end(), [&](RequestId id) { return in_flight(id); }));
     }
-    // After a delay, ends the attempts in flight of all these requests at once, with success.
+    // Advances the clock by `after` and ends the first attempt in flight of each of these requests with
+    // success.
     void complete_all(const std::vector<RequestId>& ids, Millis after) {
         now += after;
         for (const RequestId id : ids)
             if (in_flight(id)) end(id, Outcome::success, 0);
     }
 
-    // After a delay, ends the first attempt in flight of the request.
+    // Advances the clock by `after` and ends the first attempt in flight of the request with `outcome`.
     void end(RequestId id, Outcome outcome, Millis after = 50) {
         now += after;
         TrackedRequest& r = requests.at(id);
@@ -151,7 +153,8 @@
         handle_event(e);
     }
 
-    // Advances the clock; fires the timers that expire and ends attempts at their give_up_at as timed out.
+    // Advances the clock by `span`. Fires the timers that expire, and ends attempts as timed out at their
+    // give_up_at.
     void advance(Millis span) {
         const Millis until = now + span;
         for (;;) {
@@ -256,8 +259,8 @@
             {send.endpoint, now, send.give_up_at > 0 ? send.give_up_at : r.deadline, true, true});
     }
 
-    // Advances the clock past all deadlines and checks that every request has ended with exactly one final
-    // response, unless its client disconnected.
+    // Advances the clock by 60 s, past all deadlines, and checks that every request has its final response or
+    // its client has disconnected, and that the balancer has no request left.
     void finish_all() {
         advance(60000);
         for (const auto& [id, r] : requests)
