--- a/bench/guarantee_rows.py
+++ b/bench/guarantee_rows.py
@@ -508,8 +508,8 @@
             ),
             Edit(
                 SESSION,
-                "    account_pipelined(0);  // its body",
-                "    snapshot_ = context_.driver.snapshot();\n    // its body",
+                "    account_pipelined(0);  // accept_head()",
+                "    snapshot_ = context_.driver.snapshot();\n    // accept_head()",
             ),
         ],
         PROXY_TESTS,
--- a/src/proxy/balancer_driver.cpp
+++ b/src/proxy/balancer_driver.cpp
@@ -10,8 +10,9 @@
 namespace {
 
 // Whether the status is a 4xx that concerns the request itself: every endpoint would respond the same, so the
-// response is forwarded and counts neither for nor against the endpoint. 408 (timeout) and 429, which would
-// promise the client that the request never ran, are treated as failures of the attempt.
+// response is forwarded and counts neither for nor against the endpoint. 408 (timeout) and 429 are not
+// forwarded but treated as failures of the attempt; a 429 would promise the client that the request never
+// ran.
 bool is_request_error(unsigned status) {
     return status >= 400 && status < 500 && status != 408 && status != 429;
 }
@@ -171,8 +172,9 @@
     remove_request_if_done(id);
 }
 
-// The balancer is notified as if the client had disconnected: it then sends no response of its own and
-// withdraws the attempts in flight.
+// The balancer is notified as if the client had disconnected: the balancer then sends no response of its own,
+// and cancels the attempts in flight if the settings allow it. Attempts that are not written completely are
+// withdrawn in any case (send_final_response()).
 void BalancerDriver::fail_for_pipelined(RequestId id) {
     PendingRequest* request = find_request(id);
     if (!request || request->ended) return;
@@ -218,9 +220,10 @@
 
 // ---- Attempts and probes
 
-// Between the decision and the write, the client may have disconnected or the endpoint may have been listed
-// as draining. The kernel knows of a disconnect before this process has read it, so the client's socket is
-// checked. An attempt that is partly written may be completed at a draining endpoint.
+// Whether the attempt may be written now. Between the decision and the write, the client may have
+// disconnected or the endpoint may have been listed as draining. The kernel knows of a disconnect before this
+// process has read it, so the client's socket is checked. An attempt that is partly written may be completed
+// at a draining endpoint.
 bool BalancerDriver::may_write(AttemptKey key, bool partly_written) {
     PendingRequest* request = find_request(key.id);
     if (!request) return false;
@@ -286,10 +289,10 @@
     EndpointTable::Changes changes = endpoints_.update(list);
     event.endpoints = std::move(changes.updates);
     has_endpoints_ = true;
-    // From here on, no pending connection to a draining or removed endpoint is used.
     const std::vector<EndpointId> not_serving = endpoints_.not_serving();
-    // The balancer gets the list before the attempts are withdrawn, so that it does not retry them at an
-    // endpoint that the list excludes.
+    // Attempts that are connecting to moved, draining or removed endpoints are withdrawn below. The balancer
+    // gets the list first, so that it does not retry these attempts at an endpoint that is draining or
+    // removed in the list.
     enqueue(std::move(event));
     for (const EndpointId id : changes.moved) upstream_.withdraw_endpoint(id);
     for (const EndpointId id : not_serving) upstream_.withdraw_endpoint(id);
--- a/src/proxy/balancer_driver.hpp
+++ b/src/proxy/balancer_driver.hpp
@@ -54,8 +54,8 @@
     /// Applies a configuration to requests that start from now on. Events that are queued already are handled
     /// with the previous configuration. Must not be called from within an event.
     void apply(ConfigSnapshotPtr snapshot, UpstreamPool::Limits limits);
-    /// Called with the final response to each request, unless it is a forwarded 4xx. `version`: of the
-    /// request's configuration; `served`: an endpoint has processed the request successfully.
+    /// Called when a request's final response is sent, unless that response is a forwarded 4xx. `version`: of
+    /// the request's configuration; `served`: an endpoint has processed the request successfully.
     std::function<void(std::uint64_t version, bool served)> on_final_response;
 
     /// Called with evidence to be shared with the other sidecars.
@@ -103,8 +103,10 @@
     /// Checks every action that a rule of the protocol may forbid.
     RuleGuard& rule_guard() { return rule_guard_; }
     const RuleGuard& rule_guard() const { return rule_guard_; }
-    /// What the driver, the upstream connections and the balancer hold now. Once all requests and attempts
-    /// have ended, `requests` and `attempts` are 0 and only the listed endpoints are counted.
+    /// What the driver, the upstream connections and the balancer keep in memory now. `requests`: the
+    /// driver's entries plus the balancer's. `endpoints`: in the endpoint table; `known_endpoints`: in the
+    /// balancer. `pools`: connection pools. Once all requests, attempts and probes have ended, `requests` and
+    /// `attempts` are 0 and only the listed endpoints are counted.
     struct Usage {
         std::size_t requests = 0, attempts = 0, endpoints = 0, known_endpoints = 0, pools = 0,
                     connections = 0, ejected = 0;
--- a/src/proxy/client_session.cpp
+++ b/src/proxy/client_session.cpp
@@ -15,15 +15,19 @@
 
 // Timeouts in milliseconds. The protocol requires a response or a close within 3 s, however little a client
 // sends.
-constexpr Millis kReadTimeout = 2500;    // for a whole request, from the connection's start or the first byte
-constexpr Millis kMinReadTimeout = 200;  // for the rest of a request whose first bytes arrived long before
-constexpr Millis kWriteTimeout = 5000;   // for a response that the client does not read
-constexpr Millis kLingerTimeout = 500;   // for the client to read the last response
+// A whole request must arrive within kReadTimeout: a connection's first request from the connection's start,
+// each later request from its first byte. If that time started long before the connection was accepted or the
+// first byte was read, the client still has kMinReadTimeout from then.
+constexpr Millis kReadTimeout = 2500;
+constexpr Millis kMinReadTimeout = 200;
+constexpr Millis kWriteTimeout = 5000;  // for writing a whole response, which a client may not read
+constexpr Millis kLingerTimeout = 500;  // for the client to read the last response
 // Milliseconds that a new connection may take to send its first request before a drain closes it.
 constexpr Millis kFirstRequestGrace = 200;
-// Milliseconds that a session must have been in its state before it may be evicted: a lingering session or
-// one that has never had a valid request (silent), a slow sender of a first request, and an idle session,
-// which its client may still rely on.
+// Milliseconds from state_since_ after which a session may be evicted: a session that lingers, or that is
+// idle and has had no valid request yet (kSilentGrace); one that reads a request and has had no valid request
+// yet (kSlowGrace); and an idle one that has had a valid request, because its client may still rely on the
+// connection (kIdleGrace).
 constexpr Millis kSilentGrace = 20;
 constexpr Millis kSlowGrace = 150;
 constexpr Millis kIdleGrace = 2000;
@@ -55,7 +59,8 @@
     error_code ec;
     session->socket_.set_option(tcp::no_delay(true), ec);
     session->socket_.non_blocking(true, ec);
-    // The timeout counts from when the connection was established, which may be long before it was accepted.
+    // The timeout counts from `waited_` milliseconds before now, because the client may have connected and
+    // sent long before the connection was accepted.
     session->deadline_ = session->state_since_ + std::max(kReadTimeout - session->waited_, kMinReadTimeout);
     session->receive();
 }
@@ -134,7 +139,7 @@
     request_started_at_ =
         pipelined_since_.value_or(now - std::max(std::exchange(waited_, 0), context_.loop_waited()));
     pipelined_since_.reset();
-    account_pipelined(0);  // its body is reserved when its head is accepted
+    account_pipelined(0);  // accept_head() reserves the memory for the request's body
     if (deadline_ == 0) deadline_ = std::max(request_started_at_ + kReadTimeout, now + kMinReadTimeout);
     parser_.emplace();
     parser_->header_limit(kMaxHeader);
@@ -195,12 +200,12 @@
     auto request = std::make_shared<HttpRequest>(parser_->release());
     parser_.reset();
     account_pipelined(input_.size());
-    if (input_.size() > 0) pipelined_since_ = request_started_at_;  // the next request came with this one
+    if (input_.size() > 0) pipelined_since_ = request_started_at_;  // its earliest arrival
     keep_alive_ = request->keep_alive();
     first_request_ = false;
     if (health_check) return respond_to_health_check();
-    // The configuration in force at a request's last byte applies to the request. Trailers may have added
-    // headers.
+    // The configuration in force at a request's last byte applies to the request, and the trailers of a
+    // chunked request may have added headers. In both cases the request is validated again.
     const bool config_changed = snapshot_ != context_.driver.snapshot();
     snapshot_ = context_.driver.snapshot();
     if (chunked && framing_error(*request)) return reject(http::status::bad_request);
@@ -223,7 +228,8 @@
     write(HttpResponse(ready ? http::status::ok : http::status::service_unavailable, 11), keep_alive_);
 }
 
-// The time left in milliseconds, from the request's arrival.
+// The request's time left in milliseconds, from its arrival. While draining, the time left is at most the
+// time from now to the drain's deadline.
 Millis ClientSession::time_left(const HttpRequest& request) const {
     // No client waits longer than the longest deadline of any request class.
     const Millis left =
@@ -285,8 +291,8 @@
     linger();
 }
 
-// Waits for the client to close first: if the socket were closed with unread bytes, the kernel would reset
-// the connection and discard the response.
+// Waits for the client to close first, for at most kLingerTimeout and kMaxLingerBytes: if the socket were
+// closed with unread bytes, the kernel would reset the connection and discard the response.
 void ClientSession::linger() {
     state_ = State::lingering;
     state_since_ = context_.clock.now();
--- a/src/proxy/client_session.hpp
+++ b/src/proxy/client_session.hpp
@@ -16,18 +16,20 @@
 // Receive buffer of a client connection, bytes. Unread bytes in the kernel count towards the process's
 // memory, and a client that sends at full speed fills the buffer.
 constexpr int kClientReceiveBuffer = 64 * 1024;
-// Bytes read at a time. An idle session keeps no larger input buffer.
+// Bytes read at a time (pipelined bytes that are discarded: kDiscardSize). An idle session keeps no larger
+// input buffer.
 constexpr std::size_t kClientReadSize = 4096;
 
 class ClientSession : public Client, public std::enable_shared_from_this<ClientSession> {
 public:
     enum class State { idle, reading, waiting, writing, lingering, closed };
-    /// The order in which sessions are closed for a new connection at the connection limit, first to last. A
-    /// session of rank `never` is not closed.
+    /// The order in which sessions are closed for a new connection at the connection limit, first to last.
+    /// `silent`: idle, and no valid request yet; `slow`: reading, and no valid request yet. A session of rank
+    /// `never` is not closed.
     enum class EvictionRank { silent, lingering, slow, idle, never };
 
-    /// `waited`: how long the connection's first bytes may have been unread in the kernel when the connection
-    /// was accepted, milliseconds.
+    /// `waited`: upper bound of the time for which the connection's first bytes had been unread in the kernel
+    /// when the connection was accepted, milliseconds.
     ClientSession(ListenerContext& context, tcp::socket socket, Millis waited);
 
     /// Adds `session` to the context's list and starts reading.
@@ -37,8 +39,8 @@
     EvictionRank eviction_rank(Millis now) const;
     /// Whether unread bytes are in the kernel: closing the connection now could lose a complete request.
     bool has_unread_bytes() { return peek(socket_) == SocketState::readable; }
-    /// Whether the session is idle, has no unread bytes in the kernel, and is not so new that its first
-    /// request is about to arrive.
+    /// Whether the session is idle, has bytes neither in its input buffer nor unread in the kernel, and is
+    /// not so new that its first request is about to arrive (kFirstRequestGrace).
     bool is_quiet();
 
     void send_response(HttpResponse response) override;
@@ -47,8 +49,9 @@
 
     bool is_due(Millis now) const { return deadline_ > 0 && now >= deadline_; }
     void on_deadline();
-    /// Allows another kMaxDiscardedBytes of pipelined bytes to be discarded, and continues reading. Called at
-    /// each deadline check.
+    /// Allows another kMaxDiscardedBytes of pipelined bytes to be discarded, and continues reading if a
+    /// request is waiting for its response. Called at each deadline check, unless the session's deadline has
+    /// passed.
     void resume_reading();
 
 private:
@@ -87,7 +90,7 @@
     SessionList::iterator position_{};  // in the context's list
     State state_ = State::idle;
     bool receiving_ = false;     // a wait for the socket to become readable is pending
-    bool first_request_ = true;  // no complete, valid request has arrived yet
+    bool first_request_ = true;  // no request with a valid head has arrived completely yet
     bool disconnected_ = false;  // the client disconnected while its response was being written
     bool head_checked_ = false;
     bool keep_alive_ = true;
@@ -106,7 +109,9 @@
 
     Millis waited_;  // see the constructor; 0 once the first request has started
     PipelinedRequests pipelined_;
-    std::optional<Millis> pipelined_since_;  // when the first pipelined byte arrived, Clock milliseconds
+    std::optional<Millis> pipelined_since_;  // arrival of the first pipelined byte, Clock milliseconds
+    // When the session was accepted, last became idle or started to linger (the latest of the three), Clock
+    // milliseconds.
     Millis state_since_;
     Millis request_started_at_ = 0;
     Millis deadline_ = 0;  // of the current state, Clock milliseconds; 0: none
--- a/src/proxy/client_session_input.cpp
+++ b/src/proxy/client_session_input.cpp
@@ -11,17 +11,18 @@
 
 namespace {
 
-// A request with other requests pipelined behind it is failed this many milliseconds after the earliest of
-// their deadlines. Their responses are due 0.5 s after their deadlines; the 150 ms are for one deadline
-// check, which detects the timeout, and for sending the responses.
+// Milliseconds after the earliest deadline of the pipelined requests at which the current request is failed.
+// The response to a pipelined request is due 0.5 s (kResponseGrace) after that request's deadline. Of this
+// time, 150 ms are kept for one deadline check, which detects the timeout, and for sending the responses.
 constexpr Millis kPipelinedGrace = RuleGuard::kResponseGrace - 150;
+// Bytes that a lingering session reads and discards before it closes the connection.
 constexpr std::size_t kMaxLingerBytes = 256 * 1024;
 
 // Pipelined bytes are buffered up to kFreePipelinedBytes, and up to kMaxPipelinedBytes (one whole request) if
 // there is memory for bodies left. Further bytes are read and discarded, because unread bytes would hide a
-// disconnect, and the connection is closed after the response being prepared. At most kMaxDiscardedBytes are
-// discarded between two deadline checks, which bounds the rate: the 4 MB that a kernel holds for a sender
-// take 0.2 s.
+// disconnect; the connection is then closed after the response to the current request. Between two deadline
+// checks (50 ms), reading stops once kMaxDiscardedBytes are discarded. This bounds the rate: the 4 MB that a
+// kernel holds for a sender take 0.2 s.
 constexpr std::size_t kFreePipelinedBytes = kMaxHeader;
 constexpr std::size_t kMaxPipelinedBytes = kMaxHeader + kMaxBody;
 constexpr std::size_t kMaxDiscardedBytes = 1024 * 1024;
@@ -40,10 +41,10 @@
 
 // ---- Receiving
 
-// Waits for the socket to become readable. The wait is pending in every state, because it also detects a
-// disconnect of the client. Bytes stay in the kernel until the handler runs; a pending read would take them
-// out some turns of the event loop earlier, and close_idle() could in between close a connection whose
-// request has arrived.
+// Waits for the socket to become readable, also while a request is being served, because the wait detects a
+// disconnect of the client. Bytes stay in the kernel until the handler runs. A pending read would take the
+// bytes out of the kernel some turns of the event loop before its handler runs; in between, close_idle()
+// could close a connection whose request has arrived.
 void ClientSession::receive() {
     if (receiving_ || state_ == State::closed) return;
     receiving_ = true;
@@ -136,8 +137,10 @@
     account_pipelined(0);
 }
 
-// When the current request must have ended so that the responses to pipelined requests are in time, Clock
-// milliseconds; 0 if no pipelined request has a deadline.
+// The time at which the current request is failed so that the responses to pipelined requests are in time:
+// kPipelinedGrace after the earliest deadline of a pipelined request, Clock milliseconds. 0 if no pipelined
+// request has a deadline, or if the connection will be closed after the current response, because the
+// pipelined requests then get no response.
 Millis ClientSession::deadline_for_pipelined() const {
     const auto first = keep_alive_ ? pipelined_.first_deadline() : std::nullopt;
     return first ? *first + kPipelinedGrace : 0;
--- a/src/proxy/close_reason.hpp
+++ b/src/proxy/close_reason.hpp
@@ -9,13 +9,15 @@
 namespace ochregrade::sidecar {
 
 enum class CloseReason : std::size_t {
-    peer_closed,     // the peer closed or reset the connection
+    // The peer closed or reset the connection. Upstream also: the endpoint sent an invalid response or
+    // unexpected bytes, or its address has changed.
+    peer_closed,
     answered,        // closed after its last exchange
     idle,            // unused until the idle timeout
     timeout,         // the peer exceeded a time limit
-    evicted,         // closed for a new connection at the connection limit
+    evicted,         // closed for a new connection at the connection limit, or for a lower limit
     draining,        // this process is draining
-    retired,         // idle, and not expected to be used again
+    retired,         // idle, and not to be used again
     cancelled,       // its exchange was cancelled, withdrawn or not sent
     connect_failed,  // not established, or failed before the request's last byte was written
     error,           // an error in this process or on this machine
--- a/src/proxy/endpoint_table.cpp
+++ b/src/proxy/endpoint_table.cpp
@@ -39,8 +39,8 @@
         const EndpointId id = find_or_add(listed.name);
         UpstreamEndpoint& endpoint = endpoints_[id];
         const bool restarted = endpoint.started_at != listed.started_at;
-        // The endpoint has a new process or a new address; another endpoint may use the old address by now.
-        // Open connections are useless then, and pending connections may reach the wrong process.
+        // If the endpoint has a new process or a new address, its open connections are useless. Its pending
+        // connections may reach the wrong process, because another endpoint may use the old address by now.
         if (restarted || endpoint.address != listed.address) changes.moved.push_back(id);
         if (restarted)
             endpoint.started_at_clock = start_times_.to_process_clock(listed.started_at, clock_.now());
--- a/src/proxy/endpoint_table.hpp
+++ b/src/proxy/endpoint_table.hpp
@@ -44,13 +44,14 @@
 
     struct Changes {
         std::vector<Endpoint> updates;  // for the balancer, in the list's order
-        std::vector<EndpointId> moved;  // endpoints with a new process or address
+        std::vector<EndpointId> moved;  // endpoints with a new process or address, also new endpoints
     };
-    /// Applies an endpoint list from discovery.
+    /// Applies an endpoint list from discovery. An endpoint that is missing in a complete list is not listed
+    /// any more.
     Changes update(const EndpointList& list);
     /// Endpoints to which no new request may be sent: draining or not listed.
     std::vector<EndpointId> not_serving() const;
-    /// Removes the endpoint if it is neither listed nor in use.
+    /// Removes the endpoint if it is not listed and no attempt or probe to it is in flight.
     void remove_if_unused(EndpointId id);
 
     /// All listed endpoints.
--- a/src/proxy/listener.cpp
+++ b/src/proxy/listener.cpp
@@ -58,8 +58,9 @@
 
 void Listener::accept() {
     if (accepting_ || paused_ || stopped_) return;
-    // One connection over the limit is accepted, and another session is evicted for it. While all sessions
-    // are busy, the next connection waits in the accept queue until a session is idle or closed.
+    // One connection over the limit is accepted. Then a session is evicted for it before the next accept.
+    // While no session may be evicted, for example because all are busy, the next connection waits in the
+    // accept queue until a session is closed or may be evicted.
     if (context_.sessions.size() > context_.limits.connections && !evict_session())
         return accept_delay_.blocked(context_.clock.now());
     accept_delay_.resumed(context_.clock.now());
@@ -114,6 +115,7 @@
 
 // How long the first bytes of a connection that is accepted now have been in the kernel, in milliseconds: the
 // time since the last data as TCP reports it, but at most the time for which no connection could be accepted.
+// That maximum is returned if TCP reports nothing.
 Millis Listener::waited_for_accept(tcp::socket& socket) {
     const Millis max_wait = accept_delay_.waited(context_.clock.now());
     if (max_wait <= 0) return 0;
@@ -187,7 +189,7 @@
 
 // Returns false if connections may be left in the queue. Only EAGAIN/EWOULDBLOCK means that the queue is
 // empty. Any other error concerns one connection in the queue or an interrupted call, and further connections
-// may be behind it. The number of such errors is bounded, because the caller calls again soon.
+// may be behind it. One call stops after kAcceptQueueLength such errors; the caller calls again soon.
 bool Listener::drain_accept_queue() {
     for (int failures = 0; failures < kAcceptQueueLength;) {
         error_code ec;
--- a/src/proxy/listener.hpp
+++ b/src/proxy/listener.hpp
@@ -23,11 +23,11 @@
     /// Throws ConfigError if the address is in use, boost::system::system_error on other errors.
     void listen(const tcp::endpoint& address);
     tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
-    /// From now on the response to /healthz is 200 while there is an endpoint list.
+    /// From now on the response to /healthz is 200 while there is an endpoint list, until the drain starts.
     void mark_ready() { context_.ready_for_use = true; }
 
-    /// Lowering a limit below the current use ends no request: idle connections are closed and no new
-    /// connections are accepted.
+    /// Lowering a limit below the current use ends no request that has arrived completely: connections that
+    /// may be evicted (ClientSession::EvictionRank) are closed, and no new connections are accepted.
     void set_limits(const Limits& limits) {
         context_.limits = limits;
         accept();
@@ -43,9 +43,9 @@
     void reject_incomplete();
     /// Closes idle connections without unread bytes in the kernel, except new ones (is_quiet()).
     void close_idle();
-    /// Accepts the connections in the kernel's accept queue, then closes the listening socket. Returns false
-    /// if connections may be left in the queue, above all because no descriptor is free; the caller then has
-    /// to call it again.
+    /// Accepts the connections in the kernel's accept queue, then closes the listening socket and idle
+    /// connections. Returns false if connections may be left in the queue, above all because no descriptor is
+    /// free; nothing is closed then, and the caller has to call stop_accepting() again.
     bool stop_accepting();
     /// Whether there are client connections.
     bool has_connections() const { return !context_.sessions.empty(); }
--- a/src/proxy/listener_context.hpp
+++ b/src/proxy/listener_context.hpp
@@ -1,5 +1,5 @@
-// State that a listener and its client sessions share: limits, the sessions, the ids of requests being
-// served, the memory for bodies, and the state of a drain.
+// State that a listener and its client sessions share: limits, the sessions, the correlation ids of requests
+// being served, the memory for bodies, and the state of a drain.
 #pragma once
 
 #include <algorithm>
@@ -36,7 +36,8 @@
         unread_.blocked(next_check_);
         unread_.resumed(now);
     }
-    /// How long bytes that are read now may have waited because the loop did not run, milliseconds.
+    /// Upper bound of the time for which bytes that are read now have waited because the loop did not run,
+    /// milliseconds.
     Millis waited(Millis now) {
         const Millis late = now - next_check_;
         return std::max(unread_.waited(now), late > kTolerance ? late : 0);
@@ -66,7 +67,8 @@
     bool draining = false;
     Millis drain_deadline = 0;  // of requests that arrive while draining, Clock milliseconds
 
-    /// Whether so many sessions exist that each connection is closed after its response.
+    /// Whether more than 7/8 of the connection limit is in use; each connection is then closed after its
+    /// response.
     bool nearly_full() const { return sessions.size() * 8 > limits.connections * 7; }
     /// Whether /healthz reports ready.
     bool ready() const { return ready_for_use && !draining && driver.has_endpoints(); }
--- a/src/proxy/request_validation.cpp
+++ b/src/proxy/request_validation.cpp
@@ -83,7 +83,7 @@
     const auto lengths = request.count(http::field::content_length);
     if (codings + lengths > 1) return http::status::bad_request;
     if (codings == 1 && !beast::iequals(coding, "chunked")) return http::status::bad_request;
-    // Beast also accepts a list of equal lengths.
+    // Beast also accepts a list of equal lengths ("5, 5"); an endpoint might not.
     if (!std::all_of(length.begin(), length.end(), [](char c) { return c >= '0' && c <= '9'; }))
         return http::status::bad_request;
     return {};
--- a/src/proxy/request_validation.hpp
+++ b/src/proxy/request_validation.hpp
@@ -14,8 +14,9 @@
 /// if the value has another format.
 std::optional<Millis> parse_time_left(beast::string_view text);
 
-/// The status of the error response if an endpoint could delimit the request's body differently (request
-/// smuggling); none if the framing is valid. The connection must be closed after such a request.
+/// The status of the error response if the request is not HTTP/1.1, or if an endpoint could delimit its body
+/// differently (request smuggling); none if the framing is valid. The connection must be closed after a
+/// request with a framing error.
 std::optional<http::status> framing_error(const HttpRequest& request);
 
 /// The status of the error response if method, path, headers or idempotency key do not fit the request's
--- a/src/proxy/rule_guard.hpp
+++ b/src/proxy/rule_guard.hpp
@@ -32,13 +32,18 @@
     count
 };
 
-/// A rule that was broken, or would have been without this guard.
+/// A rule that was broken, or would have been without this guard. In parentheses, if given: the platform's
+/// rule that the violation breaks.
 enum class Violation : std::size_t {
-    repeat,               // an attempt that might have run a request twice (`duplicate`)
-    closed_unanswered,    // the sidecar read a request and closed its connection without a response (`lost`)
+    // An attempt that might have run a request twice (`duplicate`), that exceeds the request's maximum number
+    // of attempts, or that is a hedge although hedging is not allowed.
+    repeat,
+    // The sidecar read a request and closed the client's connection without a response, although the client
+    // had not disconnected (`lost`).
+    closed_unanswered,
     answered_late,        // the final response came more than kResponseGrace after the deadline (`lost`)
     rejected_after_run,   // a rejection of a request that may have run
-    deadline_overstated,  // the deadline sent to an endpoint exceeds the client's by more than kDeadlineSlack
+    deadline_overstated,  // an attempt's deadline exceeds its request's by more than kDeadlineSlack
     unready_start,        // reported ready without an endpoint list
     count
 };
@@ -61,7 +66,9 @@
 
 struct RequestFacts {
     RequestClass kind;
-    Millis deadline = 0;  // the client's, fixed when the last byte was read; Clock milliseconds
+    // The client's deadline, less the sidecar's margin for the response and bounded as in
+    // ClientSession::time_left(). Fixed when the last byte was read; Clock milliseconds.
+    Millis deadline = 0;
     std::uint32_t max_attempts = 0;
     bool hedging_allowed = false;
     bool client_disconnected = false;
@@ -87,15 +94,18 @@
         std::uint64_t all_violations() const;
     };
 
-    /// The reason why attempt `number` of the request must not be written to this endpoint now; none if the
-    /// attempt may be written.
+    /// The reason why attempt `number` (from 0) of the request must not be written to this endpoint now; none
+    /// if the attempt may be written. Each returned reason is counted.
     std::optional<Withheld> check_send(const RequestFacts& request, std::size_t number,
                                        const EndpointFacts& endpoint, Millis now);
-    /// Whether the request may be rejected, which promises the client that a retry is harmless.
+    /// Whether the request may be rejected. A rejection promises the client that a retry is harmless. If a
+    /// retry could run the request twice, returns false and counts a violation.
     bool check_rejection(const RequestFacts& request, Millis now);
-    /// Called before a final response is written; both times are Clock milliseconds.
+    /// Called before a final response is written. `deadline`: the request's; both times are Clock
+    /// milliseconds.
     void check_final_response(Millis deadline, Millis now);
-    /// Called before an attempt is sent with the deadline `propagated`; `deadline` is the client's.
+    /// Called before an attempt is sent with the deadline `propagated`. `deadline`: the request's
+    /// (RequestFacts::deadline); both times are Clock milliseconds.
     void check_propagated_deadline(Millis propagated, Millis deadline);
     /// Called before a client's connection is closed. `unanswered`: a request was read and has no final
     /// response yet.
--- a/src/proxy/unread_time.hpp
+++ b/src/proxy/unread_time.hpp
@@ -12,7 +12,7 @@
 
 class UnreadTime {
 public:
-    /// Milliseconds after reading resumed within which all bytes that had been waiting are read.
+    /// Milliseconds after reading resumed. By then, all bytes that had been waiting are assumed to be read.
     static constexpr Millis kCatchUp = 50;
 
     /// Reading has been blocked since `since`.
--- a/src/proxy/upstream_connection.cpp
+++ b/src/proxy/upstream_connection.cpp
@@ -82,7 +82,8 @@
 
 void UpstreamConnection::start_connect_timer() {
     const Millis connect_deadline = std::min(clock_.now() + exchange_->connect_timeout, exchange_->deadline);
-    // A connect that had less time than the connect timeout shows nothing about the endpoint.
+    // A connect that ends at the write deadline had less time than the connect timeout and shows nothing
+    // about the endpoint. At the attempt's deadline, an unfinished connect counts as a connect failure.
     const Outcome outcome =
         exchange_->write_deadline < connect_deadline ? Outcome::not_sent : Outcome::connect_failure;
     timer_.expires_at(clock_.point(std::min(connect_deadline, exchange_->write_deadline)));
@@ -127,8 +128,9 @@
 
 // ---- Writing
 
-// The time left now in milliseconds, less a margin for the network: the slack that the protocol allows is
-// only as long as this process may be delayed before its write.
+// The time left now in milliseconds, less a margin for the network. The margin is needed because a delay of
+// this process between this computation and the write may use up the whole slack that the protocol allows
+// (RuleGuard::kDeadlineSlack).
 Millis UpstreamConnection::propagated_time_left() const {
     const Millis left = std::max(0.0, exchange_->deadline - clock_.now());
     return left - std::min(kDeadlineMargin, left * kDeadlineMarginShare);
@@ -153,7 +155,8 @@
 void UpstreamConnection::write_available_bytes() {
     const Transfer transfer = write_available(socket_, asio::buffer(output_) + written_bytes_);
     written_bytes_ += transfer.bytes;
-    // An endpoint starts a request when its last byte has arrived: before that, the request never ran.
+    // An endpoint starts a request when the request's last byte has arrived. That byte was not written, so
+    // the request never ran.
     if (transfer.error) return end(Outcome::connect_failure);
     if (written_bytes_ == output_.size()) return start_reading_response();
     socket_.async_wait(tcp::socket::wait_write,
--- a/src/proxy/upstream_connection.hpp
+++ b/src/proxy/upstream_connection.hpp
@@ -41,7 +41,7 @@
 struct ConnectionGroup {
     std::vector<UpstreamConnectionPtr> idle;  // the most recently used last
     std::size_t connections = 0;              // all connections of the group
-    bool withdrawn = false;                   // its connections are not reused
+    bool withdrawn = false;                   // each connection is closed after its exchange
 };
 
 class UpstreamConnection : public std::enable_shared_from_this<UpstreamConnection> {
@@ -53,9 +53,9 @@
     class Owner {
     public:
         virtual ~Owner() = default;
-        /// Called when the connection is established, and before each further part of a request that the
-        /// kernel did not accept at once (`partly_written`). Returns false if no more of the request may be
-        /// written; the owner has then ended the exchange.
+        /// Called for attempts, not for probes: when a new connection is established, and before each further
+        /// part of a request that the kernel did not accept at once (`partly_written`). Returns false if no
+        /// more of the request may be written; the owner has then ended the exchange.
         virtual bool may_write(const UpstreamConnectionPtr& connection, bool partly_written) = 0;
         /// Ends the current exchange. `response`: null unless the endpoint has sent a complete one.
         /// `reusable`: the connection may be used for another exchange.
@@ -112,7 +112,7 @@
     tcp::endpoint address_;
     std::shared_ptr<ConnectionGroup> group_;
     tcp::socket socket_;
-    asio::steady_timer timer_;  // connecting, probes and idle time; the driver keeps attempts' deadlines
+    asio::steady_timer timer_;  // for connecting, probes and idle time; the driver has the timers of attempts
     asio::steady_timer connect_retry_timer_;
     int connect_retries_ = 0;
     State state_ = State::connecting;
--- a/src/proxy/upstream_pool.cpp
+++ b/src/proxy/upstream_pool.cpp
@@ -37,7 +37,7 @@
     : io_(io), clock_(clock), limits_(limits), handlers_(std::move(handlers)) {}
 
 UpstreamPool::~UpstreamPool() {
-    // Breaks the reference cycle: an idle connection owns its group.
+    // Breaks the reference cycle: an idle connection and its group own each other.
     for (const auto& [id, group] : groups_) group->idle.clear();
 }
 
@@ -74,8 +74,8 @@
     if (!exchange->is_probe) attempts_[exchange->key] = connection;
     connection->set_exchange(std::move(exchange));
     if (reused) return connection->write_request();
-    // At the connection limit no descriptor may be used: the request is never sent, which shows nothing about
-    // the endpoint.
+    // At the connection limit, no further descriptor may be used, so the request is not sent. The outcome
+    // `not_sent` counts nothing against the endpoint.
     if (open_ > limits_.connections) return end_without_response(connection, Outcome::not_sent);
     connection->connect();
 }
@@ -83,7 +83,7 @@
 bool UpstreamPool::may_write(const ConnectionPtr& connection, bool partly_written) {
     if (!handlers_.may_write) return true;
     const bool allowed = handlers_.may_write(connection->exchange()->key, partly_written);
-    if (connection->state() == Connection::State::closed) return false;  // the handler has withdrawn it
+    if (connection->state() == Connection::State::closed) return false;  // withdrawn by the handler
     if (!allowed) end_without_response(connection, Outcome::not_sent);
     return allowed;
 }
@@ -149,9 +149,10 @@
 }
 
 // Takes the most recently used connection, so that older ones reach their idle limit and are closed. A
-// connection that the endpoint has closed or that has received unexpected bytes is not tried by writing to
-// it, because a request must not be sent twice. A connection whose last response has only just arrived is not
-// reused, because further bytes would be taken for the next response.
+// connection that the endpoint has closed or that has received unexpected bytes is closed without trying to
+// write to it: after a failed write, the request would have to be sent twice. A connection whose last
+// response arrived less than the quiet period ago is skipped, because further bytes behind that response
+// would be taken for the next response.
 UpstreamPool::ConnectionPtr UpstreamPool::take_idle(EndpointId endpoint, const tcp::endpoint& address) {
     const auto at = groups_.find(endpoint);
     if (at == groups_.end()) return nullptr;
@@ -179,8 +180,8 @@
     connection->close_idle_at(idle_deadline(*connection));
 }
 
-// The deadline is well before the endpoint closes the connection: a request written to a closed connection is
-// lost.
+// When an idle connection is closed, Clock milliseconds. This is well before the endpoint closes the
+// connection, because a request written to a closed connection is lost.
 Millis UpstreamPool::idle_deadline(const Connection& connection) const {
     return connection.idle_since() + limits_.idle_timeout -
            std::min(kIdleMargin, limits_.idle_timeout / kIdleMarginDivisor);
@@ -197,7 +198,7 @@
     if (--group.connections == 0 && at != groups_.end() && connection->is_in(at->second)) groups_.erase(at);
 }
 
-// Closes the connection that has been idle longest.
+// Closes the connection that has been idle longest, if any is idle.
 void UpstreamPool::evict_idle() {
     ConnectionPtr oldest;
     for (const auto& [id, group] : groups_)
--- a/src/proxy/upstream_pool.hpp
+++ b/src/proxy/upstream_pool.hpp
@@ -1,5 +1,5 @@
-// The connections to upstream endpoints: reuses idle connections, bounds their number, and executes each
-// attempt and probe exactly once.
+// The connections to upstream endpoints: reuses idle connections, bounds the number of all connections, and
+// sends the request of each attempt and probe at most once. Each attempt and probe ends with one outcome.
 #pragma once
 
 #include <functional>
@@ -51,10 +51,10 @@
     void cancel(AttemptKey key);
     /// Ends those attempts of a request that have not been written completely.
     void withdraw_request(RequestId id);
-    /// Ends the attempts to an endpoint that are still connecting, and reuses no connection to the endpoint.
-    /// An attempt of which the first byte was written may be completed at a draining endpoint.
+    /// Ends the attempts to an endpoint that are still connecting, and retires its connections (retire()).
+    /// Attempts that are already being written or read continue: a draining endpoint may complete them.
     void withdraw_endpoint(EndpointId endpoint);
-    /// Sends GET /healthz. The response must arrive within the connect timeout.
+    /// Sends GET /healthz. The response must arrive within the connect timeout of the limits.
     void probe(EndpointId endpoint, const tcp::endpoint& address);
     void close_idle(EndpointId endpoint);
     /// Closes idle connections to the endpoint now, and each other connection when its exchange has ended.
@@ -93,7 +93,7 @@
     Limits limits_;
     Handlers handlers_;
     std::map<AttemptKey, ConnectionPtr> attempts_;
-    std::unordered_map<EndpointId, GroupPtr> groups_;  // only of endpoints with connections
+    std::unordered_map<EndpointId, GroupPtr> groups_;  // without retired and empty groups
     std::size_t open_ = 0;
     CloseCounts closes_{};
 };
