--- a/tests/proxy/attempt_outcome_test.cpp
+++ b/tests/proxy/attempt_outcome_test.cpp
@@ -1,5 +1,5 @@
-// How each way in which an attempt ends is classified: whether the request may have run decides whether the
-// request is retried.
+// How each way in which an attempt can end is classified. A request that is not idempotent is retried only if
+// the attempt proves that the request never ran.
 #include "support/stepped_sidecar.hpp"
 
 namespace ochregrade::sidecar {
@@ -8,7 +8,7 @@
 struct OutcomeCase {
     const char* name;
     const char* request_class;
-    FakeServer::Reply first;  // to the first request; later requests succeed
+    FakeServer::Reply first;  // to the endpoint's first request; later requests get 200
     unsigned status;
     std::size_t requests;
 };
@@ -18,7 +18,8 @@
 
 class AttemptOutcome : public testing::TestWithParam<OutcomeCase> {};
 
-// A request that is not idempotent is retried only if it is certain that it never ran.
+// `status` is the status of the final response, `requests` the number of attempts that reach the endpoint: 2
+// if the request was retried.
 TEST_P(AttemptOutcome, IsClassifiedCorrectly) {
     const OutcomeCase& outcome_case = GetParam();
     FakeServer server([&](Wire& wire, const HttpRequest& request, int number) {
@@ -84,8 +85,8 @@
 };
 const std::string kFine = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine";
 
-// After an invalid response, the request may have run. A response with bytes behind it is valid. In both
-// cases the connection is not reused.
+// After an invalid response, the request may have run. A response with further bytes behind it is valid.
+// After either, the connection is not reused.
 INSTANTIATE_TEST_SUITE_P(
     UnusualResponse, AttemptOutcome,
     testing::Values(
--- a/tests/proxy/balancer_driver_test.cpp
+++ b/tests/proxy/balancer_driver_test.cpp
@@ -18,7 +18,7 @@
         std::string text;
         unsigned status;
     } all[] = {{&removed_class, App::request("listen"), 400},
-               {&changed_class, App::request("annotate", "25000m", "x"), 400},  // must have no key any more
+               {&changed_class, App::request("annotate", "25000m", "x"), 400},  // a key is now invalid
                {&same_class, App::request("deposit", "25000m", "x"), 200}};
     for (auto& each : all) each.app->wire.write(each.text.substr(0, each.text.size() - 1));
     ASSERT_TRUE(sidecar.until([&] { return sidecar.listener.connections() == 3; }));
@@ -43,7 +43,7 @@
     const std::string text =
         "POST /annotate HTTP/1.1\r\nHost: x\r\nX-Correlation-Id: c1\r\nX-Service-Class: "
         "annotate\r\nX-Time-Left: 25000m\r\nContent-Length: 1\r\n\r\nx";
-    app.wire.write(text.substr(0, 60));  // within its head
+    app.wire.write(text.substr(0, 60));  // part of the request's head
     ASSERT_TRUE(sidecar.until([&] { return sidecar.listener.connections() == 1; }));
     sidecar.turn();
     config["settings"]["classes"][2]["effect"] = "once";
--- a/tests/proxy/client_disconnect_test.cpp
+++ b/tests/proxy/client_disconnect_test.cpp
@@ -9,8 +9,8 @@
 namespace ochregrade::sidecar {
 namespace {
 
-// The disconnect is unread in the kernel behind the request, and an idle upstream connection could send the
-// request at once.
+// The client disconnects right after it has sent its request: the sidecar has read neither from the kernel.
+// An idle upstream connection is available, on which the request could be sent at once.
 TEST(ClientDisconnect, UnreadInKernelIsDetectedBeforeSend) {
     FakeServer server;
     SteppedSidecar sidecar(a_config(kNoAddress, {host("s1", server.at())}));
@@ -31,8 +31,8 @@
     EXPECT_EQ(server.seen().size(), 1u);
 }
 
-// The client disconnects while the upstream connection is being established; the last check is before the
-// first byte is written.
+// The client disconnects while the upstream connection is being established: nothing is written, because
+// may_write() is called before the first byte.
 TEST(ClientDisconnect, DuringConnectPreventsWrite) {
     FakeServer server;
     SteppedUpstreamPool pool({1000, 15000, 10, 0});
@@ -50,8 +50,8 @@
     App app(sidecar.listener.endpoint());
     ASSERT_EQ(sidecar.ask(app, kHealthRequest).result_int(), 200u);
     app.wire.write(App::request("listen"));
-    // The kernel has established the upstream connection, and the sidecar has handled neither that nor the
-    // disconnect yet.
+    // When the client disconnects, the kernel has established the upstream connection. The sidecar has
+    // handled neither of the two events yet.
     while (sidecar.driver.usage().connections == 0) sidecar.io.restart(), sidecar.io.run_one();
     app.wire.socket.close();
     ASSERT_TRUE(sidecar.until([&] { return sidecar.driver.totals().client_disconnects == 1; }));
@@ -59,8 +59,8 @@
     EXPECT_TRUE(server.seen().empty());
 }
 
-// An attempt that is not written completely has not run: the attempt is withdrawn, even if the configuration
-// forbids cancelling attempts.
+// A request that is not written completely has not run, so its attempt can be ended without risk: when the
+// client disconnects (even if the configuration forbids cancelling attempts), on cancel() and on expire().
 TEST(ClientDisconnect, PartlyWrittenRequestIsWithdrawn) {
     const auto check = [&](const char* how, Outcome outcome,
                            const std::function<void(SteppedUpstreamPool&)>& end) {
@@ -82,7 +82,8 @@
     });
 }
 
-// The disconnect may be unread in the kernel when the next part of the request can be written.
+// The disconnect may be unread in the kernel when the next part of the request can be written. So
+// may_write(), which checks the client's socket, is called before each part.
 TEST(ClientDisconnect, IsCheckedBeforeEachFurtherWrite) {
     PartlyWrittenRequest request;
     request.pool.may_write = [](AttemptKey) { return false; };
@@ -116,8 +117,9 @@
     }
 }
 
-// The disconnect must also be detected soon: the 4 MB that a kernel holds for a sender are discarded within
-// 0.3 s, which is six deadline checks. The test makes and counts a check whenever no bytes move without it.
+// A disconnect behind pipelined bytes must also be detected soon: the 4 MB that a kernel holds for a sender
+// are discarded within 0.3 s, which is six deadline checks (one per 50 ms). The test makes a deadline check,
+// and counts it, whenever the event loop has had nothing to do for 5 ms.
 TEST(ClientDisconnect, IsDetectedBehindFullKernelBufferWithinSixChecks) {
     std::promise<void> release;
     std::shared_future<void> released = release.get_future().share();
@@ -150,8 +152,8 @@
     release.set_value();
 }
 
-// One whole request may be pipelined behind another; with more bytes, the connection is closed after the
-// response being prepared.
+// One whole request may be pipelined behind another. If more bytes are pipelined, the connection is closed
+// after the response to the request being served.
 TEST(PipelinedRequests, AreServedInOrderUpToLimit) {
     std::promise<void> release;
     std::shared_future<void> released = release.get_future().share();
@@ -186,7 +188,7 @@
     EXPECT_TRUE(flood.wire.ended());
 }
 
-// Pipelined bytes count against the memory for bodies while they are buffered.
+// Pipelined bytes count against the memory for bodies (here 90,000 bytes) while they are buffered.
 TEST(PipelinedRequests, ShareMemoryForBodiesAndReleaseIt) {
     std::promise<void> release;
     std::shared_future<void> released = release.get_future().share();
@@ -209,7 +211,7 @@
     EXPECT_EQ(sidecar.ask(retry, App::request("deposit", "25000m", body)).result_int(), 200u);
 }
 
-// A pipelined request must not hide a disconnect of the client.
+// A pipelined request must not hide a disconnect of the client. Here a whole sidecar runs on its own thread.
 TEST(ClientDisconnect, IsDetectedBehindPipelinedRequest) {
     std::promise<bool> closed;
     FakeServer server([&](Wire& wire, const HttpRequest&, int) {
--- a/tests/proxy/client_session_test.cpp
+++ b/tests/proxy/client_session_test.cpp
@@ -57,7 +57,8 @@
     while (app.ask(health).result_int() != 200u) ASSERT_LT(seconds_since(start), 30);
 }
 
-// An endpoint would take a second request with the id of a request being served for a retry of the first.
+// A second request with the correlation id of a request being served is rejected, because an endpoint would
+// take the second request for a retry of the first.
 TEST(ClientSession, CorrelationIdInUseIsRejected) {
     std::promise<void> release;
     std::shared_future<void> released = release.get_future().share();
@@ -83,13 +84,16 @@
     const auto start = std::chrono::steady_clock::now();
     EXPECT_EQ(incomplete.answer().result_int(), 408u);
     EXPECT_TRUE(silent.wire.ended());
-    EXPECT_LT(seconds_since(start), 20);  // 3 s on a machine that is not paused; clients wait for 30 s
+    // The protocol requires 3 s. The check allows 20 s because the test machine may be paused; that is less
+    // than the 30 s (kPatience) after which the test's clients give up.
+    EXPECT_LT(seconds_since(start), 20);
 }
 
 // The read timeout of an incomplete request that was pipelined behind a whole request counts from the arrival
 // of the incomplete request.
 TEST(ClientSession, IncompleteRequestBehindSlowResponseTimesOutFromItsArrival) {
-    constexpr double kServiceTime = 2.0, kReadTimeout = 3.0;  // seconds
+    // Seconds. kReadTimeout is the limit of the protocol; the session's own read timeout is 2.5 s.
+    constexpr double kServiceTime = 2.0, kReadTimeout = 3.0;
     FakeServer server([&](Wire& w, const HttpRequest&, int) {
         std::this_thread::sleep_for(std::chrono::duration<double>(kServiceTime));
         return w.respond(200, "fine"), true;
@@ -104,10 +108,11 @@
     EXPECT_LT(seconds_since(start), answered - kServiceTime + kReadTimeout);
 }
 
-// The read timeout also counts from the request's arrival if its connection had to wait for a descriptor.
+// The read timeout also counts from the request's arrival if the request's connection could not be accepted
+// at once, because no descriptor was free.
 TEST(ClientSession, IncompleteRequestOnUnacceptedConnectionTimesOutFromItsArrival) {
     constexpr std::chrono::milliseconds kAcceptDelay{1500};
-    constexpr double kReadTimeout = 3.0, kSlack = 0.3;  // seconds
+    constexpr double kReadTimeout = 3.0, kSlack = 0.3;  // seconds; kReadTimeout: the limit of the protocol
     Running sidecar(a_config(kNoAddress, {host("s1", kNoAddress)}));
     asio::io_context io;
     Wire incomplete(tcp::socket(io, tcp::v4()));
--- a/tests/proxy/drain_test.cpp
+++ b/tests/proxy/drain_test.cpp
@@ -9,14 +9,14 @@
     return config;
 }
 
-// The response was being written when the drain started. Its headers promise to keep the connection open, and
-// nothing else would close the connection.
+// A response is being written when the drain starts. The response's headers promise that the connection stays
+// open, so the client does not close it; the sidecar must close it after the response.
 TEST(Drain, ClosesConnectionAfterResponseBeingWritten) {
     SteppedSidecar sidecar(a_config(kNoAddress, {host("s1", kNoAddress)}));
     App app(sidecar.listener.endpoint());
     app.wire.write(kHealthRequest);
     while (!is_readable(app.wire))
-        sidecar.io.restart(), sidecar.io.run_one();  // the response is written, but the handler has not run
+        sidecar.io.restart(), sidecar.io.run_one();  // the response is written, but its handler has not run
     sidecar.listener.drain(sidecar.clock.now() + 1000);
     EXPECT_EQ(sidecar.listener.connections(), 1u);
     EXPECT_TRUE(app.answer().keep_alive());
@@ -24,7 +24,8 @@
     EXPECT_EQ(sidecar.listener.connections(), 0u);
 }
 
-// A new connection is about to carry a request: a client that opens a connection is expected to send at once.
+// A drain does not close a new connection at once, because a client that opens a connection is expected to
+// send a request on it at once.
 TEST(Drain, NewConnectionHasTimeForItsFirstRequest) {
     FakeServer server;
     SteppedSidecar sidecar(a_config(kNoAddress, {host("s1", server.at())}));
@@ -33,7 +34,7 @@
     sidecar.listener.drain(sidecar.clock.now() + 5000);
     sidecar.io.restart(), sidecar.io.run_for(std::chrono::milliseconds(20));
     EXPECT_EQ(sidecar.ask(fresh, App::request("listen")).result_int(), 200u);
-    // A connection on which nothing is sent is closed soon.
+    // A new connection on which nothing is sent is closed after the grace (kFirstRequestGrace).
     App silent(sidecar.listener.endpoint());
     ASSERT_TRUE(sidecar.until([&] { return sidecar.listener.connections() > 0; }));
     EXPECT_TRUE(sidecar.until([&] {
@@ -77,8 +78,8 @@
 }
 
 // A client may send a request while the sidecar closes its idle connection. The client then retries on a new
-// connection, which must still be accepted. The test is repeated only if this thread was paused until
-// connections were no longer accepted.
+// connection, which must still be accepted. The test tries up to ten times, because this thread may be
+// paused until connections are no longer accepted.
 TEST(Drain, ClientOfClosedIdleConnectionCanRetryOnNewOne) {
     FakeServer server;
     const auto retry_is_served = [&] {
@@ -91,7 +92,7 @@
             App retry(sidecar.at);
             return retry.ask(App::request("deposit")).result_int() == 200u;
         } catch (const boost::system::system_error&) {
-            return false;  // not accepted any more
+            return false;  // connections are not accepted any more
         }
     };
     bool served = false;
@@ -99,7 +100,8 @@
     EXPECT_TRUE(served);
 }
 
-// SIGKILL may come 3.7 s after SIGTERM, however long the deadlines are.
+// SIGKILL may come 3.7 s after SIGTERM, however long the deadlines of requests are. A request that arrives
+// during the drain must end earlier: at most 3.5 s are left for its attempt.
 TEST(Drain, LateRequestWithLongDeadlineGetsResponseBeforeSigkill) {
     FakeServer server;
     Running sidecar(with_deadlines(a_config(kNoAddress, {host("s1", server.at())}), 10000));
@@ -107,7 +109,8 @@
     ASSERT_EQ(app.ask(kHealthRequest).result_int(), 200u);
     const std::string text = App::request("deposit", "10000m");
     app.wire.write(text.substr(0, 30));
-    // The request has started, so that its connection is not closed as idle.
+    // Waits until the sidecar has read the start of the request: the drain then does not close the connection
+    // as idle.
     while (sidecar.in_loop([&] { return !sidecar.node().listener().reading(); })) {
     }
     sidecar.stop([] {});
@@ -151,7 +154,8 @@
     EXPECT_EQ(app.answer().result_int(), 502u);
 }
 
-// A second SIGTERM while draining does not change the end of the drain, and `done` is called once.
+// A second stop() while draining, as on a second SIGTERM, does not change the end of the drain: only the
+// first callback is called.
 TEST(Drain, SecondSignalHasNoEffect) {
     FakeServer server;
     Running sidecar(a_config(kNoAddress, {host("s1", server.at())}));
@@ -198,7 +202,7 @@
     const auto start = std::chrono::steady_clock::now();
     sidecar.stop([&] { done.set_value(); });
     EXPECT_TRUE(idle.wire.ended());
-    if (seconds_since(start) < 0.3) {  // later, new connections need not be accepted
+    if (seconds_since(start) < 0.3) {  // after 0.3 s, new connections need not be accepted
         App late(sidecar.at);
         const HttpResponse response = late.ask(App::request("listen"));
         EXPECT_EQ(response.result_int(), 200u);
--- a/tests/proxy/endpoint_table_test.cpp
+++ b/tests/proxy/endpoint_table_test.cpp
@@ -36,7 +36,8 @@
     }
 }
 
-// An attempt whose connection is withdrawn because its endpoint drains is not retried at that endpoint.
+// An attempt that is still connecting is withdrawn when its endpoint is listed as draining. The second and
+// last attempt is made at the other endpoint of the new list, not at the draining endpoint.
 TEST(EndpointList, WithdrawnAttemptIsRescheduledByUpdatedList) {
     Silent draining;
     FakeServer fresh;
@@ -51,7 +52,8 @@
     EXPECT_EQ(sidecar.driver.totals().attempts, 2u);
 }
 
-// The endpoint has moved to another address; another endpoint may be at the old address by now.
+// The endpoint moves to another address while an attempt is connecting to the old one. The attempt is
+// withdrawn and retried at the new address, because another endpoint may be at the old address by now.
 TEST(EndpointList, PendingConnectionFollowsMovedEndpoint) {
     Silent old_address;
     FakeServer new_address;
@@ -66,7 +68,7 @@
     const auto start = std::chrono::steady_clock::now();
     EXPECT_EQ(app.answer().result_int(), 200u);
     EXPECT_LT(std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count(),
-              15);  // the connect timeout is 20 s
+              15);  // seconds, well before the connect timeout of 20 s
     EXPECT_EQ(new_address.seen().size(), 1u);
 }
 
@@ -75,8 +77,8 @@
 TEST(WallClock, StepDoesNotChangeSlowStart) {
     constexpr Millis kHour = 3600e3, kSlowStartDuration = 20000;
     const auto share_of_new = [&](Millis step, Millis age) {
-        // Of two endpoints, the slower one is chosen less often: after its slow start the new endpoint is the
-        // faster one.
+        // The old endpoint takes 4 ms per request. After the slow start, the new endpoint is the faster one
+        // and is chosen more often.
         FakeServer new_endpoint, old_endpoint([](Wire&w, const HttpRequest&, int) {
             std::this_thread::sleep_for(std::chrono::milliseconds(4));
             return w.respond(200, "fine"), true;
--- a/tests/proxy/listener_test.cpp
+++ b/tests/proxy/listener_test.cpp
@@ -1,5 +1,5 @@
-// Limits of the listener: which connections are closed because they are silent or for new connections, and a
-// shortage of descriptors.
+// Limits of the listener: which connections are closed at the read timeout, which are evicted for new
+// connections, the memory for bodies, and a shortage of descriptors.
 #include "proxy/listener.hpp"
 
 #include <sys/resource.h>
@@ -9,7 +9,8 @@
 namespace ochregrade::sidecar {
 namespace {
 
-// The read timeout expires when the request has arrived but has not been read yet.
+// The read timeout (2.5 s) of a connection expires when the connection's request has arrived but has not been
+// read yet: the connection is not closed.
 TEST(ReadTimeout, DoesNotCloseConnectionWithUnreadRequest) {
     FakeServer server;
     SteppedSidecar sidecar(a_config(kNoAddress, {host("s1", server.at())}));
@@ -40,7 +41,7 @@
     ASSERT_TRUE(sidecar.until([&] { return sidecar.listener.connections() == 1; }));
     sidecar.turn();
     sidecar.clock.skip(200);
-    App late(sidecar.listener.endpoint());  // its connection event is handled first
+    App late(sidecar.listener.endpoint());  // handled before the rest of the slow request below
     slow.wire.write(text.substr(20));
     EXPECT_EQ(sidecar.answer(slow).result_int(), 200u);
     EXPECT_EQ(sidecar.ask(late, App::request("listen")).result_int(), 200u);
@@ -61,7 +62,7 @@
 TEST(ConnectionEviction, ClosesIdleClientsForNewOnes) {
     FakeServer server;
     json config = a_config(kNoAddress, {host("s1", server.at())});
-    config["limits"]["sockets"] = 64;  // 8 clients at most
+    config["limits"]["sockets"] = 64;  // 19 client connections at most
     Running sidecar(config);
     std::list<App> apps;
     for (int i = 0; i < 20; ++i) {
@@ -112,7 +113,7 @@
         return released.wait(), wire.respond(200, "fine"), true;
     });
     json config = a_config(kNoAddress, {host("s1", server.at())});
-    config["limits"] = {{"sockets", 256}, {"memory_mb", 1}};  // memory for one body of full size
+    config["limits"] = {{"sockets", 256}, {"memory_mb", 1}};  // memory for one body of 64 KB
     Running sidecar(config);
     const std::string body(60000, 'x');
     App first(sidecar.at), second(sidecar.at), small(sidecar.at);
@@ -135,13 +136,13 @@
         return released.wait(), wire.respond(200, "fine"), true;
     });
     json config = a_config(kNoAddress, {host("s1", server.at())});
-    config["limits"]["sockets"] = 64;  // 8 clients at most
+    config["limits"]["sockets"] = 64;  // 19 client connections at most
     Running sidecar(config);
     std::list<App> apps;
     for (std::size_t i = 0; i < 8; ++i) {
         apps.emplace_back(sidecar.at);
         if (i == 7)
-            std::this_thread::sleep_for(std::chrono::milliseconds(100));  // accepted, and silent for a while
+            std::this_thread::sleep_for(std::chrono::milliseconds(100));  // the newest one is silent so long
         apps.back().wire.write(App::request("listen"));
         ASSERT_TRUE(server.wait_for(i + 1)) << i;
     }
@@ -152,8 +153,8 @@
     EXPECT_EQ(late.answer().result_int(), 200u);
 }
 
-// A fleet of more than 1,024 sidecars with more than 1,024 endpoints: the last of 1,025 sidecars uses its
-// share of 1,025 endpoints, and applies changes of any endpoint.
+// A fleet of more than 1,024 sidecars with more than 1,024 endpoints: the last of 1,025 sidecars serves
+// requests with a list of 1,025 endpoints, and applies changes of the list.
 TEST(FleetSize, Supports1025SidecarsAndEndpoints) {
     constexpr int kFleetSize = 1025;
     FakeServer server, other;
@@ -174,8 +175,8 @@
     App app(sidecar.at);
     for (int i = 0; i < 50; ++i) ASSERT_EQ(app.ask(App::request("listen")).result_int(), 200u) << i;
     EXPECT_EQ(sidecar.usage().endpoints, static_cast<std::size_t>(kFleetSize));
-    // All endpoints but one move to another address; the next request goes to a moved endpoint or to that
-    // one.
+    // All endpoints but one move to the address of `other`. Of the next 50 requests, at least 40 go to
+    // moved endpoints.
     for (json& h : hosts) h["dial"] = other.at();
     hosts[0]["dial"] = server.at();
     discovery.say(6, true, hosts);
@@ -206,7 +207,7 @@
     tcp::socket late(io, tcp::v4());
     const double used_before = processor_seconds();
     std::optional<NoDescriptors> none(std::in_place);
-    late.connect(sidecar.at);  // by the kernel; the sidecar can't accept it
+    late.connect(sidecar.at);  // the kernel completes the connect; the sidecar can't accept the connection
     const auto start = std::chrono::steady_clock::now();
     while (seconds_since(start) < 0.5) std::this_thread::sleep_for(std::chrono::milliseconds(50));
     EXPECT_EQ(first.ask(App::request("listen")).result_int(), 200u) << "open connections are still served";
--- a/tests/proxy/pipelined_requests_test.cpp
+++ b/tests/proxy/pipelined_requests_test.cpp
@@ -6,8 +6,9 @@
 namespace ochregrade::sidecar {
 namespace {
 
-// Responses are sent in order: a request that takes all its time delays the requests pipelined behind it,
-// whose responses are due 0.5 s after their own deadlines.
+// Responses are sent in order, so a request that gets no response from its endpoint delays the requests that
+// are pipelined behind it. Their responses are due 0.5 s after their own deadlines, so the first request is
+// failed before its deadline.
 TEST(PipelinedRequests, RequestEndsBeforeResponsesBehindItAreDue) {
     constexpr double kDeadlineBehind = 0.3, kGrace = 0.5, kSlack = 0.2;  // seconds
     std::promise<void> release;
@@ -33,7 +34,7 @@
     App app(sidecar.at);
     app.wire.write(App::request("deposit", "5000m") + App::request("listen", "5000m"));
     EXPECT_EQ(app.answer().result_int(), 200u);
-    app.wire.write(App::request("listen", "300m"));  // pipelined behind a short request
+    app.wire.write(App::request("listen", "300m"));  // pipelined behind a request that is served quickly
     EXPECT_EQ(app.answer().result_int(), 200u);
     EXPECT_EQ(app.answer().result_int(), 200u);
 }
--- a/tests/proxy/request_validation_test.cpp
+++ b/tests/proxy/request_validation_test.cpp
@@ -10,7 +10,7 @@
     const char* name;
     std::string text;
     unsigned status;
-    bool closes;  // the connection's further bytes can't be delimited, or are not read
+    bool closes;  // the connection, because further bytes on it can't be delimited or are not read
 };
 std::ostream& operator<<(std::ostream& out, const InvalidRequest& invalid) { return out << invalid.name; }
 
@@ -124,8 +124,8 @@
 
 class InvalidRequests : public testing::TestWithParam<InvalidRequest> {};
 
-// The request is rejected with the status for its fault and reaches no endpoint, and the sidecar serves
-// further requests.
+// The invalid request is rejected with the status for its fault and reaches no endpoint, and the sidecar
+// serves further requests: on the same connection unless the sidecar closes it, and on a new one.
 TEST_P(InvalidRequests, AreRejectedAndReachNoEndpoint) {
     const InvalidRequest& invalid = GetParam();
     FakeServer server;
--- a/tests/proxy/rule_guard_test.cpp
+++ b/tests/proxy/rule_guard_test.cpp
@@ -15,7 +15,7 @@
     request.deadline = 1000;
     request.max_attempts = 3;
     request.attempts.push_back({1, 7, 0, 100, false, true});
-    request.attempts.push_back({2, 7, 0, 200, true, false});  // the attempt that is checked
+    request.attempts.push_back({2, 7, 0, 200, true, false});  // kSecondAttempt, the attempt that is checked
     return request;
 }
 constexpr std::size_t kSecondAttempt = 1;
--- a/tests/proxy/system_call_faults_test.cpp
+++ b/tests/proxy/system_call_faults_test.cpp
@@ -63,7 +63,7 @@
     EXPECT_EQ(app.answer().body(), "late");
     const bool ends = ended.wait_for(std::chrono::seconds(10)) == std::future_status::ready;
     EXPECT_TRUE(ends) << "its event loop is blocked";
-    if (!ends) try_asking(f.listen, kHealth);  // wakes the event loop
+    if (!ends) try_asking(f.listen, kHealth);  // wakes the blocked event loop
     EXPECT_EQ(ended.get(), 0);
 }
 
@@ -110,7 +110,7 @@
 // ---- Local errors of connect
 
 // A short lack of ports, routes or buffers on this machine must not count against an endpoint or use up an
-// attempt.
+// attempt: with only one attempt allowed, each request is still served.
 TEST(LocalConnectError, IsRetriedWithoutUsingAnAttempt) {
     FakeServer server([](Wire& w, const HttpRequest&, int) {
         return w.respond(200, "fine", "Connection: close\r\n"), false;
--- a/tests/proxy/unread_time_test.cpp
+++ b/tests/proxy/unread_time_test.cpp
@@ -29,7 +29,8 @@
     ASSERT_TRUE(sidecar.until([&] { return server.seen().size() == 2; }));
     for (const HttpRequest& request : server.seen())
         EXPECT_LE(propagated_time_left(request), kTimeLeft - kPause + kSlack);
-    // Once all bytes that had waited are read, the pause is not subtracted any more.
+    // Once all bytes that had waited are read, the pause is not subtracted from the time left of later
+    // requests.
     sidecar.io.restart(), sidecar.io.run_for(several_checks);
     idle.wire.write(App::request("listen", "4000m"));
     ASSERT_TRUE(sidecar.until([&] { return server.seen().size() == 3; }));
@@ -50,8 +51,9 @@
     EXPECT_LE(propagated_time_left(server.seen().back()), kTimeLeft - kServiceTime + kSlack);
 }
 
-// The time left is exact when it is computed, but the process may be delayed by up to 0.15 s before its
-// write, and the network takes time too. Only a small share is subtracted from a short time left.
+// The time left that is sent to an endpoint has a margin subtracted: the process may be delayed by up to 0.15
+// s, the whole slack of the protocol, between computing the time left and writing it, and the network takes
+// time too. From a short time left, only a small share is subtracted.
 TEST(PropagatedDeadline, LeavesMarginForDelayBeforeWrite) {
     constexpr Millis kLong = 2000, kShort = 400, kMargin = 20, kMinShare = 0.85;
     FakeServer server;
--- a/tests/proxy/upstream_connection_test.cpp
+++ b/tests/proxy/upstream_connection_test.cpp
@@ -13,8 +13,8 @@
     EXPECT_EQ(app.ask(App::request("deposit")).result_int(), 503u);
 }
 
-// A request whose last byte was not sent never ran. The request here is larger than what the kernel buffers
-// on both sides hold for a server that does not read.
+// A request whose last byte was not sent never ran. This test's request is larger than the kernel buffers of
+// both sides together, and the server does not read; so the last byte is not sent before the reset.
 TEST(UpstreamConnection, ResetBeforeLastByteCountsAsNotRun) {
     Acceptor server(
         [](Wire& wire) {
@@ -151,15 +151,16 @@
     sidecar.list({host("s1", first.at(), "DRAINING"), host("s2", second.at())});
     sidecar.turn();
     release.set_value();
-    // The second attempt is connecting: the kernel has established its connection, but the sidecar has not
-    // handled that yet.
+    // Runs until the second attempt is connecting: the kernel has established its connection, but the
+    // sidecar has not handled that yet.
     while (sidecar.driver.totals().attempts < 2) sidecar.io.restart(), sidecar.io.run_one();
     sidecar.clock.skip(10000);
     EXPECT_EQ(sidecar.answer(app).result_int(), 502u);
     EXPECT_TRUE(second.seen().empty());
 }
 
-// The rest of a partly written request is not written either when the deduplication window has ended.
+// Once the write deadline has passed (here the end of the deduplication window), the rest of a partly written
+// request is not written either.
 TEST(UpstreamConnection, RestOfRequestIsNotWrittenAfterDeduplicationWindow) {
     PartlyWrittenRequest request(10000);
     request.pool.clock.skip(10000);
--- a/tests/proxy/upstream_pool_test.cpp
+++ b/tests/proxy/upstream_pool_test.cpp
@@ -65,8 +65,8 @@
     }
 }
 
-// The pool keeps no state of removed endpoints, even of thousands of them or with an attempt in flight at the
-// removal. A new endpoint at the same address starts with a new connection.
+// The pool keeps no state of removed endpoints, even after thousands of removals, and also if an attempt was
+// in flight at the removal. A new endpoint at the same address gets a new connection.
 TEST(UpstreamPool, NothingIsKeptOfRemovedEndpoints) {
     FakeServer server;
     SteppedUpstreamPool pool({1000, 15000, 50, 0});
@@ -86,7 +86,8 @@
     EXPECT_EQ(server.connections(), 2000);
 }
 
-// A shortage of descriptors is a local fault of the sidecar and must not count against an endpoint.
+// A reached connection limit, like a shortage of descriptors, is a local condition of the sidecar and must
+// not count against an endpoint: the outcome is `not_sent`.
 TEST(UpstreamPool, ConnectionLimitDoesNotCountAgainstEndpoint) {
     Silent silent;
     SteppedUpstreamPool pool({60000, 15000, 1, 0});
@@ -106,7 +107,7 @@
     }
     EXPECT_EQ(pool.outcomes, (std::vector<Outcome>{Outcome::success, Outcome::not_sent}));
     EXPECT_EQ(pool.upstream.open(), 1u);
-    {  // after a short shortage the connect is retried
+    {  // a shortage that ends before the connect is retried (within 0.1 s)
         const NoDescriptors none;
         pool.send(2, second.at());
     }
@@ -115,7 +116,8 @@
     EXPECT_EQ(pool.upstream.open(), 2u);
 }
 
-// The process was paused beyond the idle limit, and its timers have not fired yet when it continues.
+// The process is paused until a connection's idle limit has passed (14 s: the idle timeout of 15 s less 1 s).
+// When the process continues, the connection's timer has not fired yet.
 TEST(UpstreamPool, ExpiredIdleConnectionIsNotReusedBeforeItsTimerFires) {
     FakeServer server;
     SteppedUpstreamPool pool({1000, 15000, 10, 0});
@@ -141,18 +143,19 @@
     EXPECT_TRUE(closed.get_future().get());
 }
 
-// Responds with one kind of outcome after another.
+// Makes attempts end in five ways in turn: reset, invalid response, 500, timeout, success.
 const FakeServer::Reply kMixedOutcomes = [](Wire& wire, const HttpRequest&, int number) {
     if (number % 5 == 0) return wire.reset(), false;
     if (number % 5 == 1) return wire.write("ICY 200 OK\r\n\r\n"), true;
     if (number % 5 == 2) return wire.respond(500), true;
-    if (number % 5 == 3) return wire.ended(), false;  // until the attempt times out
+    if (number % 5 == 3) return wire.ended(), false;  // waits until the attempt times out
     return wire.respond(200, "fine"), true;
 };
 
-// While no request is being served, neither the balancer nor the sockets count an attempt, however attempts
-// ended, and no state is kept of thousands of endpoints that were added and removed. The balancer keeps an
-// endpoint while it counts an attempt or probe in flight to that endpoint.
+// While no request is being served, neither the balancer nor the upstream pool counts an attempt in flight,
+// however earlier attempts ended. No state is kept of 2,500 endpoints that were added and removed. This would
+// show an attempt or probe that is never counted as ended, because the balancer keeps an endpoint while an
+// attempt or probe to it is in flight.
 TEST(UpstreamPool, AtRestNothingIsInFlightAndOnlyListedEndpointsAreKept) {
     FakeServer mixed(kMixedOutcomes);
     FakeDiscovery discovery;
