--- a/src/control/config.cpp
+++ b/src/control/config.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr double kHashRange = 4294967296.0;  // 2^32
+constexpr double kHashRange = 4294967296.0;  // 2^32, the number of values of a 32-bit hash
 
 }  // namespace
 
--- a/src/control/config.hpp
+++ b/src/control/config.hpp
@@ -23,15 +23,15 @@
 
 /// The conditions under which the canary of a new version of the configuration passes or fails.
 struct CanaryRule {
-    Millis duration = 0;           // 0: no canary
-    double max_drop = 0.05;        // largest accepted fall of the share of requests served, 0 to 1
+    Millis duration = 0;     // ms; 0: no canary
+    double max_drop = 0.05;  // largest accepted fall of the share served (ConfigVersions::Share), 0 to 1
     std::size_t min_samples = 50;  // final responses needed before the canary is evaluated
 };
 
-/// The sidecar's part in the replicated state of the fleet (docs/REPLICATION.md).
+/// How this sidecar takes part in the replicated state of the fleet (docs/REPLICATION.md). Periods in ms.
 struct ReplicationConfig {
     bool enabled = false;
-    bool version_agreement = true;  // fetch newer versions that other members act on
+    bool version_agreement = true;  // whether newer versions that other members act on are fetched
     Millis probe_period = 1000, gossip_period = 100, sync_period = 2000;
     bool operator==(const ReplicationConfig&) const = default;
 };
@@ -51,12 +51,12 @@
     CanaryRule canary;
     ReplicationConfig replication;
     std::uint32_t epoch = 0;          // version of the settings, set by operators; 0: not versioned
-    double rollout_share = 1;         // share of the fleet that acts on this epoch, 0 to 1
-    std::uint32_t settings_hash = 0;  // hash of the settings that all sidecars have in common
+    double rollout_share = 1;         // share of the fleet that acts on `epoch`, 0 to 1
+    std::uint32_t settings_hash = 0;  // hash of the settings without this sidecar's index and zone
     std::string state_directory;      // empty: no state is stored
-    Millis stable_uptime = 2000;      // a run that lasts this long does not count towards a crash loop
+    Millis stable_uptime = 2000;      // ms; a run that lasts this long does not count towards a crash loop
 
-    Settings settings;  // local_zone is not set: each process assigns its own numbers to the zones
+    Settings settings;  // without settings.local_zone: each process assigns its own numbers to the zones
     std::optional<std::string> local_zone;
     std::vector<std::string> classes;
     Millis connect_timeout = 1000;
@@ -67,16 +67,19 @@
     // The JSON document that this Config was read from, without unknown and start-only fields.
     std::string document;
 
-    /// Whether this sidecar belongs to the share of the fleet that acts on the epoch. A hash of the sidecar's
-    /// index and the epoch decides, so the result needs no coordination between sidecars.
+    /// Whether this sidecar belongs to the share of the fleet that acts on `epoch`; always true for a share
+    /// of 1. For smaller shares, a hash of the sidecar's index and the epoch decides, so the sidecars need no
+    /// coordination.
     bool in_rollout() const;
-    /// Whether this sidecar takes part in replication: replication is enabled, gossip is allowed and the
-    /// sidecar's index lies within the fleet.
+    /// Whether this sidecar takes part in replication. The conditions: replication is enabled, gossip is
+    /// allowed, `peer_listen` is set, the fleet has 2 to kMaxMembers sidecars, this sidecar's index lies
+    /// within the fleet, and `peers` has an address for each sidecar.
     bool joins_replication() const;
     /// Index of the class with this name; classes.size() if there is no such class.
     std::size_t class_index(std::string_view class_name) const;
 };
-/// Reads a document that parse_config() returned. Throws ConfigError with all errors found.
+/// Reads a parsed document (parse_config(), start_document()). Throws ConfigError with the errors found, at
+/// most ValidationErrors::kMaxErrors of them.
 Config read_config(const nlohmann::json& json);
 
 }  // namespace ochregrade::sidecar
--- a/src/control/config_error.hpp
+++ b/src/control/config_error.hpp
@@ -13,17 +13,18 @@
     std::string what;   // the error, as a phrase after the path: "is missing"
 };
 
-/// Thrown when a configuration or an endpoint list can't be read. Holds all errors found.
+/// Thrown when a configuration or an endpoint list can't be read. Contains the errors that were collected.
 struct ConfigError : std::runtime_error {
     explicit ConfigError(std::vector<ValidationError> all);
     ConfigError(const std::string& field, const std::string& what);
     std::vector<ValidationError> errors;
 };
 
-/// Collects the errors found while a document is read completely, at most one error for each field.
+/// Collects errors while a document is read to its end. Only the first error of each field is retained.
 class ValidationErrors {
 public:
-    /// Maximum number of errors that add() collects, so that a document full of errors gets a short report.
+    /// add() ignores an error if this many are already collected, so that a document full of errors gets a
+    /// short report.
     static constexpr std::size_t kMaxErrors = 50;
 
     void add(const std::string& field, const std::string& what);
--- a/src/control/config_file.cpp
+++ b/src/control/config_file.cpp
@@ -66,7 +66,7 @@
            a.st_mtim.tv_sec == b.st_mtim.tv_sec && a.st_mtim.tv_nsec == b.st_mtim.tv_nsec;
 }
 
-// Nesting depth of the brackets outside of strings.
+// The deepest nesting of [] and {} in a JSON text; brackets inside strings do not count.
 int nesting_depth(std::string_view text) {
     int depth = 0;
     int deepest = 0;
@@ -96,7 +96,8 @@
     document.erase(kFormerSection);
 }
 
-// Logs one warning per process, although each reload reads the file.
+// Warns that the section has its former name. Each reload calls this function, but only the first warning of
+// a process is logged.
 void warn_of_former_section(const std::string& text) {
     static bool warned = false;
     if (warned || !json::parse(text, nullptr, false).contains(kFormerSection)) return;
@@ -144,7 +145,7 @@
         if (after && ::stat(path, &at_path) == 0 && same_file(*before, *after) && same_file(*after, at_path))
             return text;
     }
-    return text;  // the file changed during every read; validation rejects the text if it is incomplete
+    return text;  // the file changed during every read; an incomplete text is not JSON and fails to parse
 }
 
 json start_document() {
--- a/src/control/config_parser.cpp
+++ b/src/control/config_parser.cpp
@@ -97,7 +97,7 @@
     if (root.has("known")) config.known_endpoints = read_endpoint_list(root["known"]);
 }
 
-// Runs the balancer's own validation, which may be stricter than the parser.
+// Reports settings that the parser accepts but the balancer's own validation rejects.
 void check_settings(const Config& config, ValidationErrors& errors) {
     try {
         validate(config.settings);
@@ -106,7 +106,8 @@
     }
 }
 
-// Hashes the settings that all sidecars of a fleet have in common.
+// Hashes the settings without this sidecar's index and zone, so that sidecars with otherwise equal settings
+// get the same hash.
 std::uint32_t hash_settings(json settings) {
     settings.erase("my-number");
     settings.erase("my-zone");
--- a/src/control/config_parser.hpp
+++ b/src/control/config_parser.hpp
@@ -1,4 +1,4 @@
-// Converts a JSON document into the typed Config. The meaning and the units of the fields stand in
+// Converts a JSON document into the typed Config. The meaning and the units of the fields are described in
 // config_schema.cpp and docs/CONFIGURATION.md.
 #pragma once
 
@@ -8,7 +8,8 @@
 
 namespace ochregrade::sidecar {
 
-/// Reads the complete document. The result is valid only if no error was added to `errors`.
+/// Reads the document to its end, even if it has errors. The result may be used only if `errors` is empty
+/// afterwards; errors that were added before the call count too.
 Config read_document(const nlohmann::json& document, ValidationErrors& errors);
 
 /// Reads the section "settings", including the request classes, into `config`.
--- a/src/control/config_schema.cpp
+++ b/src/control/config_schema.cpp
@@ -107,13 +107,14 @@
     {"settings.worth-by", unused, "", "the platform's"},
 };
 
-// Result of looking up a path in the table: a field, the parent of fields, or unknown.
+// Result of looking up a path in the table. The path is a field (`field` is set), the parent of fields
+// (`has_fields_below`) or unknown (neither).
 struct Lookup {
     const FieldInfo* field = nullptr;
     bool has_fields_below = false;
 };
 
-// Whether `path` lies below `parent`: "a.b" and "a[]" below "a".
+// Whether `path` lies below `parent`: "a.b" and "a[]" lie below "a".
 bool is_below(std::string_view path, std::string_view parent) {
     return path.size() > parent.size() && path.starts_with(parent) &&
            (path[parent.size()] == '.' || path[parent.size()] == '[');
@@ -130,19 +131,20 @@
         }
         found.has_fields_below |= path.empty() || is_below(known, path);
     }
-    // "settings.limits.*" does not make settings.limits itself a field, because the table has other fields
-    // below settings.limits.
+    // A path that matches "*" is still only a parent if the table has fields below it: "settings.limits.*"
+    // does not make settings.limits itself a field.
     if (found.has_fields_below) found.field = nullptr;
     return found;
 }
 
-// Copies a document without its unknown and start-only fields, and collects the paths of the unknown fields.
+// Copies a document without its unknown and start-only fields, and collects the paths of the first
+// `max_unknown` unknown fields.
 class DocumentFilter {
 public:
     explicit DocumentFilter(std::size_t max_unknown) : max_unknown_(max_unknown) {}
 
-    // `path` contains the index of each list item, `pattern` contains "[]" in its place, as in the table.
-    // Returns nothing for a value that is not copied.
+    // `path` contains the index of each list item; `pattern` is the same path with "[]" in place of each
+    // index, as in the table. Returns nothing if the value is an unknown or a start-only field.
     std::optional<json> copy(const json& value, const std::string& path, const std::string& pattern) {
         const Lookup found = find_field(pattern);
         if (found.field) {
--- a/src/control/config_schema.hpp
+++ b/src/control/config_schema.hpp
@@ -1,5 +1,5 @@
-// The table of all configuration fields. unknown_fields(), version_document() and the table in
-// docs/CONFIGURATION.md are derived from it.
+// The table of all configuration fields. The functions unknown_fields() and version_document() use this
+// table; the table in docs/CONFIGURATION.md is printed from it.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -10,14 +10,15 @@
 namespace ochregrade::sidecar {
 
 enum class FieldKind {
-    live,        // changes with each version
-    start_only,  // read at the start of the process; ignored in candidates
+    live,        // a new version may change the field
+    start_only,  // takes effect only at the start of the process; ignored in candidates
     fixed,       // a candidate that changes the field is rejected
     unused       // defined by the platform; accepted and ignored
 };
 
 struct FieldInfo {
-    const char* path;  // "[]" matches each item of a list, a final "*" matches all fields below
+    const char*
+        path;  // "[]": each item of a list; a final "*": all fields below that have no row of their own
     FieldKind kind;
     const char* form;
     const char* meaning;
@@ -25,7 +26,7 @@
 std::span<const FieldInfo> config_fields();
 const char* to_string(FieldKind kind);
 
-/// The paths of fields in a configuration that the table does not contain, at most `max_fields` of them.
+/// The paths of the fields of `config` that the table does not contain, at most `max_fields` of them.
 std::vector<std::string> unknown_fields(const nlohmann::json& config, std::size_t max_fields = 20);
 
 /// The content of a configuration version: the configuration without unknown and start-only fields.
--- a/src/control/config_versions.cpp
+++ b/src/control/config_versions.cpp
@@ -22,8 +22,8 @@
     }
     const std::uint64_t content = content_version != 0 ? content_version : number;
     retained_.push_back({std::move(snapshot), content, source, State::good, now, {}});
-    // A rollback has no canary: the version that it replaces is no valid baseline, and its target was already
-    // found good.
+    // A rollback has no canary, because the version that it replaces is no valid baseline and the content of
+    // its target was in force before. The version at the start of a run has no canary either.
     const bool is_new = source == Source::file || source == Source::operators;
     if (rule.duration > 0 && fallback != 0 && is_new) begin_canary(rule, fallback, now);
     drop_oldest();
@@ -33,7 +33,8 @@
     Entry& entry = retained_.back();
     entry.state = State::canary;
     canary_ = Canary{rule, fallback, recent(now), {}, now};
-    // A failing request may take until its deadline to fail, so a shorter canary would miss the failures.
+    // A request may take until its deadline to fail, so a canary shorter than the longest deadline would miss
+    // failures.
     canary_->rule.duration = std::max(rule.duration, entry.snapshot->config.longest_deadline);
 }
 
@@ -49,7 +50,7 @@
 }
 
 void ConfigVersions::record_answer(std::uint64_t version, bool served, Millis now) {
-    // The responses of a running canary do not count for the baseline of later canaries.
+    // The responses under a canary's version do not count for the baseline of later canaries.
     if (canary_ && version == current().number()) return canary_->observed.count(served);
     const auto index = static_cast<std::int64_t>(now / kSecond);
     Second& second = seconds_[static_cast<std::size_t>(index) % seconds_.size()];
@@ -82,7 +83,8 @@
                       before, observed.value(), answers);
         return reason.data();
     }
-    // A canary with too few samples fails once its extension is over: missing data is no proof of health.
+    // A canary with too few responses is extended, and fails when its extension ends: missing data is no
+    // proof of health.
     if (now < canary_->started_at + rule.duration * kMaxExtension) return {};
     std::snprintf(reason.data(), reason.size(), "only %llu answers of %zu within its trial", answers,
                   rule.min_samples);
@@ -127,7 +129,7 @@
     return newest != retained_.rend() ? &*newest : nullptr;
 }
 
-// Drops the oldest versions, but never the version that the canary may have to be rolled back to.
+// Drops the oldest versions beyond kMaxRetained, but never the fallback of a running canary.
 void ConfigVersions::drop_oldest() {
     while (retained_.size() > kMaxRetained) {
         const bool needed = canary_ && retained_.front().number() == canary_->fallback;
--- a/src/control/endpoint_list.hpp
+++ b/src/control/endpoint_list.hpp
@@ -17,7 +17,7 @@
 /// One endpoint as discovery lists it.
 struct ListedEndpoint {
     std::string name;
-    tcp::endpoint address;  // unspecified for a removed endpoint
+    tcp::endpoint address;  // may be unspecified for a removed endpoint
     std::string zone;
     std::uint32_t cell = 0;
     EndpointState state = EndpointState::serving;
@@ -27,7 +27,7 @@
 
 struct EndpointList {
     std::uint64_t seq = 0;  // discovery's sequence number
-    bool complete = false;  // true: all endpoints; false: only the endpoints that changed
+    bool complete = false;  // true: `endpoints` are all endpoints; false: only those that changed
     std::vector<ListedEndpoint> endpoints;
 };
 
@@ -36,7 +36,7 @@
 /// Reads a list from a JsonField; errors are added to the field's ValidationErrors.
 class JsonField;
 EndpointList read_endpoint_list(const JsonField& field);
-/// Writes a complete list in the JSON form that parse_endpoint_list() reads.
+/// Writes the list in the JSON form that parse_endpoint_list() reads, marked as complete.
 nlohmann::json endpoint_list_json(const EndpointList& list);
 
 }  // namespace ochregrade::sidecar
--- a/src/control/json_field.cpp
+++ b/src/control/json_field.cpp
@@ -10,7 +10,8 @@
 
 using nlohmann::json;
 
-// In milliseconds, more than eleven days. Beyond that the doubles that hold times lose precision.
+// Longest accepted duration in ms, more than eleven days. Times are doubles, which lose precision with much
+// longer durations.
 constexpr Millis kLongestDuration = 1e9;
 
 }  // namespace
--- a/src/control/json_field.hpp
+++ b/src/control/json_field.hpp
@@ -1,6 +1,6 @@
 // Typed access to a JSON document. A JsonField refers to a value in the document and holds the path of the
-// value for error messages. Errors are collected in ValidationErrors, and reading continues with a
-// placeholder value; the reader of the document throws all collected errors at the end.
+// value for error messages. An error is added to ValidationErrors, and reading continues with a placeholder
+// value; the reader of the document throws the collected errors at the end.
 #pragma once
 
 #include <boost/asio/ip/basic_endpoint.hpp>
@@ -17,26 +17,28 @@
 
 namespace ochregrade::sidecar {
 
-/// An IP address and a port, parsed from "127.0.0.1:9000" or "[::1]:9000"; none for any other text.
+/// An IP address and a port, parsed from a text like "127.0.0.1:9000" or "[::1]:9000". The brackets are not
+/// required.
 struct AddressAndPort {
     boost::asio::ip::address address;
     std::uint16_t port = 0;
 };
+/// Returns nothing if the part before the last colon is no IP address or the part after it is no number.
 std::optional<AddressAndPort> parse_address_and_port(const std::string& text);
 
 class JsonField {
 public:
-    /// `value` null: the field is missing, and the error has already been reported. `errors` must outlive the
-    /// field.
+    /// `value` null: the field is missing. Reading the field then reports no error, because operator[] has
+    /// already reported the missing field, or an object above it. `errors` must outlive the field.
     JsonField(const nlohmann::json* value, std::string path, ValidationErrors& errors)
         : value_(value), path_(std::move(path)), errors_(&errors) {}
 
     /// Adds an error about this field. Only the first error of a field is retained, because later ones
     /// usually follow from the first.
     void report(const std::string& what) const { errors_->add(path_, what); }
-    /// Whether this object has a field `name` that is not null.
+    /// Whether this object has a field `name` that is not null. Reports an error if the value is no object.
     bool has(const std::string& name) const { return child(name).value_ != nullptr; }
-    /// Returns the field `name` and reports an error if it is missing.
+    /// Returns the field `name` and reports an error if it is missing or null.
     JsonField operator[](const std::string& name) const;
     std::vector<JsonField> items() const;
 
--- a/src/control/listen_with_retry.hpp
+++ b/src/control/listen_with_retry.hpp
@@ -1,5 +1,5 @@
-// Opens sockets at addresses from the configuration. An address that another process does not release in time
-// is reported as an error of the configuration field that contains the address.
+// Opens sockets at addresses from the configuration. If another process does not release an address within
+// kOpenRetryTimeout, that is reported as an error of the configuration field that contains the address.
 #pragma once
 
 #include <sstream>
@@ -11,7 +11,8 @@
 namespace ochregrade::sidecar {
 
 /// Calls open_with_retry() for a socket that listens on `address`, which the configuration field `field`
-/// contains. Throws ConfigError if another process uses the address, and otherwise what `open` throws.
+/// contains. Throws ConfigError if another process still uses the address after all retries; other exceptions
+/// of `open` are passed on.
 template <class Endpoint, class Open>
 auto listen_with_retry(const char* field, const Endpoint& address, Open open) {
     try {
--- a/src/control/operator_endpoint.cpp
+++ b/src/control/operator_endpoint.cpp
@@ -34,7 +34,7 @@
             start_session(std::move(socket));
             return accept();
         }
-        // The process is out of descriptors or memory; accepting again at once would be a busy loop.
+        // The usual cause is a lack of descriptors or memory: accepting again at once would be a busy loop.
         log_line("operator endpoint: accept failed: " + ec.message());
         retry_.expires_after(kAcceptRetry);
         retry_.async_wait([this](error_code cancelled) {
@@ -44,7 +44,7 @@
 }
 
 void OperatorEndpoint::start_session(tcp::socket socket) {
-    // A new session replaces the oldest session, so that idle sessions can't lock operators out.
+    // At the limit, a new session replaces the oldest one, so that idle sessions can't lock operators out.
     if (sessions_.size() >= kMaxSessions) {
         if (const auto oldest = sessions_.front().lock()) oldest->close();
         sessions_.pop_front();
--- a/src/control/operator_endpoint.hpp
+++ b/src/control/operator_endpoint.hpp
@@ -1,6 +1,6 @@
 // The operators' endpoint: an HTTP listener on loopback, disabled unless the configuration contains an
-// address for it. The endpoint forwards each request to the Node and holds no state except its connections,
-// whose number, time and size are limited.
+// address for it. The endpoint forwards each request to the Node and has no state except its connections. The
+// number of connections and the time and size of each request are limited.
 #pragma once
 
 #include <list>
@@ -16,7 +16,7 @@
 
 class OperatorEndpoint {
 public:
-    /// Throws boost::system::system_error if it can't listen. `node` must outlive it.
+    /// Throws boost::system::system_error if it can't listen. `node` must outlive the OperatorEndpoint.
     OperatorEndpoint(asio::io_context& io, Node& node, const tcp::endpoint& address);
     ~OperatorEndpoint();
     tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
--- a/src/control/operator_json.cpp
+++ b/src/control/operator_json.cpp
@@ -30,7 +30,7 @@
     return view;
 }
 
-// The versions that this sidecar acts on, as it published them to the other members.
+// The versions that this sidecar acts on, as it published them to the other members; null before that.
 json own_versions_json(const replication::Replica& replica) {
     const auto versions = replica.member(replica.self()).versions();
     if (!versions) return nullptr;
--- a/src/control/operator_query.hpp
+++ b/src/control/operator_query.hpp
@@ -21,8 +21,9 @@
     http::status status;
 };
 
-/// The query string of a request target. Parameters that are not in `known` are an error, so that a request
-/// with a mistyped dry_run does not change the configuration. All members throw OperatorError (400).
+/// The query string of a request target. A parameter that is not in `known` is an error, so that a request
+/// with a mistyped dry_run does not change the configuration. The constructor and all functions that convert
+/// a value throw OperatorError (400).
 class OperatorQuery {
 public:
     OperatorQuery(std::string_view text, std::initializer_list<std::string_view> known);
@@ -30,8 +31,9 @@
     bool has(const std::string& name) const { return values_.count(name) > 0; }
     /// False if the parameter is absent.
     bool flag(const std::string& name) const;
+    /// None if the parameter is absent.
     std::optional<std::uint64_t> unsigned_integer(const std::string& name) const;
-    /// A finite number, 0 to 1e9.
+    /// A number from 0 to 1e9; none if the parameter is absent.
     std::optional<double> non_negative(const std::string& name) const;
 
 private:
--- a/src/control/operator_requests.cpp
+++ b/src/control/operator_requests.cpp
@@ -61,7 +61,7 @@
     return options;
 }
 
-// The differences, each as a text like "replace /settings/limits/max-attempts".
+// The differences between two documents, each as a text like "replace /settings/limits/max-attempts".
 json describe_changes(const json& before, const json& after) {
     json changes = json::array();
     for (const auto& step : json::diff(before, after))
@@ -80,7 +80,7 @@
     const json before = json::parse(node.driver().snapshot()->config.document);
     const ConfigChange change = node.change(candidate, ConfigVersions::Source::operators, true, options);
     if (change.result != ConfigChange::Result::valid) return change_response(node, change);
-    keep_fixed(candidate, before);  // omitted fixed fields keep their values and are no difference
+    keep_fixed(candidate, before);  // omitted fixed fields keep their values, so they are no difference
     const json changes = describe_changes(before, version_document(candidate));
     return change_response(node, change, {{"changes", changes}});
 }
--- a/src/control/operator_session.cpp
+++ b/src/control/operator_session.cpp
@@ -27,7 +27,7 @@
     parser_.emplace();
     parser_->header_limit(kMaxHeader);
     parser_->body_limit(kMaxBodyBytes);
-    // One timeout for the complete header, so that a slow sender can't extend it.
+    // One timeout covers the wait for the request and its complete header: a slow sender can't extend it.
     stream_.expires_after(first_request_ ? kCallTimeout : kIdleTimeout);
     http::async_read_header(stream_, buffer_, *parser_,
                             [this, self = shared_from_this()](error_code ec, std::size_t) {
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -20,8 +20,8 @@
 
 using namespace ochregrade::sidecar;
 
-// Signals with a handler. Before its handler is installed and after its handler is removed, any of these
-// signals would terminate the process, so they are blocked at those times.
+// Signals with a handler. Any of them would terminate the process before its handler is installed and after
+// the handler is removed, so they are blocked at those times.
 constexpr int kHandledSignals[] = {SIGTERM, SIGINT, SIGHUP};
 
 // Blocks (SIG_BLOCK) or unblocks (SIG_UNBLOCK) the handled signals for this thread and for the threads that
@@ -53,7 +53,8 @@
         node.reload();
     };
     reload.async_wait(on_reload);
-    // An exception in one handler, most likely std::bad_alloc, must not end all other requests.
+    // An exception in the handler of one event, most likely std::bad_alloc, must not end the process and with
+    // it all other requests.
     while (!io.stopped()) {
         try {
             io.run();
--- a/src/process/canary_watch.cpp
+++ b/src/process/canary_watch.cpp
@@ -36,7 +36,7 @@
 void CanaryWatch::check() {
     const auto rollback = versions_.due(clock_.now());
     if (!versions_.canary()) handlers_.passed();
-    // A successful rollback is a commit, which has already called watch().
+    // A successful rollback ends with a commit, and the commit has already called watch().
     if (rollback && handlers_.failed(*rollback)) return;
     watch();
 }
--- a/src/process/canary_watch.hpp
+++ b/src/process/canary_watch.hpp
@@ -1,4 +1,4 @@
-// Checks at regular intervals whether the canary of a new configuration version has passed or failed.
+// Checks at regular intervals whether the canary of a new version of the configuration has passed or failed.
 #pragma once
 
 #include <functional>
@@ -13,8 +13,8 @@
 class CanaryWatch {
 public:
     struct Handlers {
-        std::function<void()> passed;
-        /// Carries out the rollback. Returns false if it failed now and has to be retried.
+        std::function<void()> passed;  ///< called when the canary has passed
+        /// Carries out the rollback. Returns false if the rollback failed; it is then retried.
         std::function<bool(const ConfigVersions::Rollback&)> failed;
     };
     /// `versions` and all objects that the handlers use must outlive the CanaryWatch.
--- a/src/process/config_manager.cpp
+++ b/src/process/config_manager.cpp
@@ -14,7 +14,8 @@
 using Result = ConfigChange::Result;
 using Source = ConfigVersions::Source;
 
-// Epochs never decrease, and an epoch identifies the same settings in the whole fleet.
+// Throws ConfigError if the candidate's epoch is lower than the running one, or the same with other settings.
+// An epoch must identify the same settings in the whole fleet, and never decreases.
 void check_epoch(const Config& config, const ConfigSnapshot& running) {
     if (config.epoch < running.epoch)
         throw ConfigError("ochregrade.epoch", "goes back from " + std::to_string(running.epoch) +
@@ -157,7 +158,8 @@
     return prepared;
 }
 
-// A version from an earlier run may have different fixed fields, so the running values replace them.
+// Prepares the rollback to a retained version. A version from an earlier run may have other values in its
+// fixed fields, so the running values replace them.
 ConfigManager::Prepared ConfigManager::prepare_version(const ConfigVersions::Entry& entry) {
     const Config& running = parts_.driver.snapshot()->config;
     nlohmann::json document = nlohmann::json::parse(entry.snapshot->config.document);
@@ -174,7 +176,7 @@
 void ConfigManager::commit(Prepared prepared, Source source, std::uint64_t content_version,
                            const CanaryRule& rule) {
     const Millis start = parts_.clock.now();
-    const ConfigSnapshotPtr before = parts_.driver.snapshot();  // not destroyed before the end of the commit
+    const ConfigSnapshotPtr before = parts_.driver.snapshot();  // kept alive until the commit has ended
     const bool is_rollback = source == Source::rollback || source == Source::canary;
     if (is_rollback && before->epoch > 0) prepared.snapshot->epoch = before->epoch + 1;
     apply(prepared);
@@ -206,8 +208,8 @@
 
 void ConfigManager::persist_config() { parts_.persistence.persist_config(parts_.versions, file_document_); }
 
-// A request that is invalid under the canary's version but valid under the fallback version counts as not
-// served. A request that is invalid under both is not evidence against the canary.
+// A request that is invalid under the canary's version but valid under its fallback version counts as not
+// served. A request that is invalid under both does not count, because the canary is not the cause.
 void ConfigManager::invalid_request(const ConfigSnapshotPtr& snapshot, const HttpRequest& head) {
     const auto& canary = parts_.versions.canary();
     if (!canary || snapshot->version != parts_.versions.current().number()) return;
--- a/src/process/config_manager.hpp
+++ b/src/process/config_manager.hpp
@@ -39,19 +39,20 @@
         ReplicationLink& replication;
         StatePersistence& persistence;
     };
-    /// `file_document`: document of the configuration file as last accepted; empty if it was never accepted.
+    /// `file_document`: document of the configuration file as last accepted; empty if none was accepted.
     ConfigManager(Parts parts, std::string file_document);
 
     /// Applies a candidate, or only validates it for a dry run. `strict`: unknown fields are errors.
     ConfigChange change(const nlohmann::json& candidate, ConfigVersions::Source source, bool strict,
                         const ConfigChangeOptions& options);
-    /// Rolls back to a retained version, by default to ConfigVersions::previous(). `expected`: the version
-    /// that must be in force.
+    /// Rolls back to a retained version, by default to ConfigVersions::previous(). `expected`: if given, the
+    /// version that must be in force.
     ConfigChange roll_back(std::optional<std::uint64_t> version, std::optional<std::uint64_t> expected);
     /// Counts a rejected change. Also called for a configuration file that can't be read.
     void count_rejected() { ++counts_.rejected; }
 
-    /// Called with a request that is invalid under the configuration in force when the request started.
+    /// Called with a request that is invalid under `snapshot`, the configuration in force when the request
+    /// started. A running canary may count it as not served.
     void invalid_request(const ConfigSnapshotPtr& snapshot, const HttpRequest& head);
     void persist_config();
     void stop_canary_watch() { canary_watch_.stop(); }
@@ -59,11 +60,11 @@
     const ConfigCounts& counts() const { return counts_; }
 
 private:
-    // All that a commit needs. Steps that can fail are done before the commit, so that the commit can't fail.
+    // All that a commit needs. The steps that can fail come before the commit, so the commit can't fail.
     struct Prepared {
         std::shared_ptr<ConfigSnapshot> snapshot;
         bool replaces_peers = false;
-        std::shared_ptr<GossipTransport> peers;  // replaces the current transport; null: no socket
+        std::shared_ptr<GossipTransport> peers;  // used only if replaces_peers; null: no socket
     };
     ConfigChange try_change(const nlohmann::json& candidate, ConfigVersions::Source source, bool strict,
                             const ConfigChangeOptions& options);
--- a/src/process/config_reloader.cpp
+++ b/src/process/config_reloader.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// A change must take effect within 4 s of the signal; a file that can't be read is retried for most of that
-// time.
+// A change of the file must take effect within 4 s of the signal. A file that can't be read or parsed is read
+// up to kMaxAttempts times, which takes most of the 4 s.
 constexpr int kMaxAttempts = 30;
 constexpr std::chrono::milliseconds kRetryInterval{100};
 
@@ -27,8 +27,8 @@
     });
 }
 
-// A file that can't be parsed may be partly written. No second signal may follow once the file is complete,
-// so the file is read again at intervals.
+// A file that can't be parsed may be partly written. Perhaps no second signal follows once the file is
+// complete, so the file is read again at intervals.
 void ConfigReloader::read_file(int attempts_left) {
     retry_timer_.cancel();
     ConfigChange change;
--- a/src/process/graceful_shutdown.cpp
+++ b/src/process/graceful_shutdown.cpp
@@ -6,17 +6,18 @@
 
 namespace {
 
-// Clients still open new connections for a short time after the signal.
+// New connections are accepted for this long after the signal, because clients still open some.
 constexpr std::chrono::milliseconds kAcceptFor{600};
-// Idle connections are closed this long before the listening socket: a client that sends a request just as
-// its connection is closed can still retry on a new connection.
+// Idle connections are closed this long before the listening socket, so that a client that sends a request
+// just as its connection is closed can still retry on a new connection.
 constexpr std::chrono::milliseconds kRetryWindow{100};
 constexpr std::chrono::milliseconds kPollInterval{10};
-// The process exits this long after the longest deadline: no request can be pending then, and SIGKILL may
-// follow 0.7 s after the deadline.
+// The process does not wait for open connections longer than this after the longest deadline of the
+// configuration in force, counted from the signal. SIGKILL may follow 0.7 s after that deadline.
 constexpr Millis kExitMargin = 500;
-// Requests that arrive late in the drain get their response this long before the process may exit. SIGKILL
-// may follow 0.7 s after the longest deadline, or 0.7 s after kKillAfter for deadlines beyond kKillAfter.
+// Requests that arrive during the drain end at the latest this long before the process may exit, and requests
+// that have arrived only in part are rejected then. If the longest deadline is over kKillAfter, kKillAfter
+// counts in its place, because SIGKILL may follow 0.7 s after the shorter of the two.
 constexpr Millis kResponseMargin = 50;
 constexpr Millis kKillAfter = 3000;
 
@@ -58,8 +59,8 @@
     });
 }
 
-// Requests that started under an older configuration may have longer deadlines than the configuration in
-// force at the signal allows. The shutdown waits for each of them.
+// The shutdown waits for each pending request, even beyond end_at_: a request that started under an older
+// configuration may have a longer deadline than the configuration in force at the signal allows.
 bool GracefulShutdown::finished(bool all_accepted) const {
     if (driver_.pending_requests() != 0) return false;
     return (all_accepted && !listener_.has_connections()) || clock_.now() >= end_at_;
--- a/src/process/graceful_shutdown.hpp
+++ b/src/process/graceful_shutdown.hpp
@@ -1,6 +1,6 @@
 // Graceful shutdown (docs/ENDINGS.md). New connections are accepted for a short time after the signal,
-// because clients are notified of the shutdown late. Then requests in flight end, each at its own deadline at
-// the latest.
+// because clients are notified of the shutdown late. The shutdown then waits for the requests in flight, each
+// of which ends at its own deadline at the latest.
 #pragma once
 
 #include <functional>
@@ -19,7 +19,8 @@
                      const BalancerDriver& driver);
 
     /// Starts the shutdown; must be called only once. `done` is called when no request is pending and either
-    /// all connections are closed or the longest deadline has passed 0.5 s ago.
+    /// all connections are closed or 0.5 s have passed since the longest deadline, counted from this call.
+    /// `done` is not called in the first 0.6 s, while new connections are accepted.
     void start(std::function<void()> done);
     bool started() const { return static_cast<bool>(done_); }
 
--- a/src/process/node.cpp
+++ b/src/process/node.cpp
@@ -20,8 +20,9 @@
     return versions.next_version();
 }
 
-// The sequence number to watch from. None for a stored list: discovery may have restarted its sequence since
-// the list was stored, so the complete list is fetched first.
+// The sequence number of the known endpoint list, from which discovery is watched. None without a list, and
+// for a list from the state folder: discovery may have restarted its sequence since that list was stored, so
+// the complete list is fetched first.
 std::optional<std::uint64_t> known_seq(const Start& start) {
     const auto& known = start.config.known_endpoints;
     return known && !start.endpoints_restored ? std::optional(known->seq) : std::nullopt;
--- a/src/process/node.hpp
+++ b/src/process/node.hpp
@@ -26,9 +26,10 @@
 class Node {
 public:
     /// Opens all sockets and starts. Throws ConfigError or boost::system::system_error if a socket can't be
-    /// opened. May block while an address is still in use (listen_with_retry.hpp).
+    /// opened. May block, for each socket up to kOpenRetryTimeout, while its address is in use or descriptors
+    /// or buffers are short (open_with_retry.hpp).
     Node(asio::io_context& io, Config config);
-    /// Like the above, and restores the state of an earlier run.
+    /// Like the constructor above, and restores the state of an earlier run.
     Node(asio::io_context& io, Start start);
     ~Node();
     tcp::endpoint endpoint() const { return listener_.endpoint(); }
@@ -38,7 +39,7 @@
     /// Starts a graceful shutdown (GracefulShutdown), which calls `done` at its end. Later calls have no
     /// effect.
     void stop(std::function<void()> done);
-    /// Reads the configuration file again and applies it.
+    /// Reads the configuration file again and applies it, in a later turn of the event loop.
     void reload() { reloader_.reload(); }
 
     /// See ConfigManager::change() and ConfigManager::roll_back().
--- a/src/process/peer_link.hpp
+++ b/src/process/peer_link.hpp
@@ -19,11 +19,12 @@
     PeerLink(const PeerLink&) = delete;
     PeerLink& operator=(const PeerLink&) = delete;
 
-    /// Whether the configuration needs a different socket, a first socket, or no socket any more.
+    /// Whether the configuration needs a socket at another address, a first socket, or no socket any more.
     bool needs_replacement(const Config& config) const;
-    /// Opens a socket for the configuration without using it; null if none is needed. Throws system_error.
+    /// Opens a socket for the configuration, to be passed to replace(); null if none is needed. Throws
+    /// system_error.
     std::shared_ptr<GossipTransport> open(const Config& config) const;
-    /// Stops the current socket and uses `transport` in its place. Null: no socket is used.
+    /// Closes the current socket and uses `transport` in its place. Null: no socket is used.
     void replace(std::shared_ptr<GossipTransport> transport);
     /// Changes the addresses of the peers without replacing the socket.
     void set_peers(const Config& config);
--- a/src/process/replication_link.cpp
+++ b/src/process/replication_link.cpp
@@ -14,8 +14,8 @@
 
 void ReplicationLink::configure(const Config& config) {
     if (driver_ && driver_->matches(config)) return;
-    // The sidecar's index in the fleet may change here. The other members drop the state published under the
-    // old index when its incarnation ends.
+    // The sidecar's index in the fleet may change here. leave() ends the incarnation under the old index, and
+    // the other members then drop the state that was published under it.
     leave();
     driver_.reset();
     if (!config.joins_replication() || !parts_.peers.transport()) return;
@@ -24,7 +24,7 @@
     publish_versions();
 }
 
-// The handlers may use `this`: the driver is owned by this object and calls them only during its lifetime.
+// The handlers may use `this`, because only the driver calls them and this object owns the driver.
 ReplicationDriver::Handlers ReplicationLink::handlers() {
     return {[this](std::optional<std::uint32_t> to, const std::vector<std::uint8_t>& bytes) {
                 if (GossipTransport* transport = parts_.peers.transport()) transport->send(to, bytes);
--- a/src/process/replication_link.hpp
+++ b/src/process/replication_link.hpp
@@ -27,22 +27,26 @@
         DiscoveryClient& discovery;
         PeerLink& peers;
     };
-    /// `reload` reads the configuration file; called when other members act on newer settings.
+    /// `reload` must read the configuration file; it is called when other members act on newer settings.
     ReplicationLink(Parts parts, std::function<void()> reload);
 
-    /// Joins the replication, leaves it, or rejoins with changed parameters, as the configuration requires.
+    /// Joins the replication, leaves it, or rejoins with another index, fleet size or replication settings,
+    /// as the configuration requires.
     void configure(const Config& config);
-    /// Announces the end of this member to the other members; called at a graceful shutdown.
+    /// Announces to the other members that this member leaves; called at a graceful shutdown and by
+    /// configure().
     void leave();
 
     void receive(std::uint32_t from, const std::vector<std::uint8_t>& bytes);
     void publish(replication::EndpointKey endpoint, const replication::Evidence& evidence);
-    /// Publishes the versions that this sidecar acts on to the other members, and logs them if they changed.
+    /// Publishes to the other members the versions that this sidecar acts on, and logs them if they changed.
+    /// Does nothing if the sidecar does not take part in replication.
     void publish_versions();
     /// Reports the draining and removed endpoints of the list to the other members.
     void publish_withdrawn(const EndpointList& list);
-    /// Records that this sidecar has handled the epoch, even if it does not act on it because of the rollout
-    /// share. Returns false if the epoch had already been recorded.
+    /// Records that this sidecar has read the settings of the epoch but does not act on them, because the
+    /// rollout share excludes this sidecar; the settings need not be fetched again. Returns false if this
+    /// epoch or a newer one had already been recorded.
     bool settle_epoch(std::uint32_t epoch);
 
     /// Null if the sidecar does not take part in replication.
--- a/src/process/resource_limits.cpp
+++ b/src/process/resource_limits.cpp
@@ -8,20 +8,22 @@
 
 namespace {
 
-// Descriptors that are not for connections: log, event loop, listener, discovery, peers and a reserve.
+// Descriptors that are not for connections of clients and upstreams: log, event loop, listener, discovery,
+// peers and a reserve.
 constexpr std::size_t kReservedDescriptors = 32;
 constexpr std::size_t kMinConnections = 16;
-// Share of the connections that clients get. Clients get more than upstreams, because clients also keep idle
-// and silent connections open.
+// Share of the connections that clients get. It is over half, because clients also keep idle and silent
+// connections open.
 constexpr double kClientShare = 0.62;
-// Request bodies may use this fraction (1/n) of the memory. Up to three copies of a body exist at a time: the
-// received body, the copy for a retry and the copy that is being sent.
+// Received bodies and pipelined bytes of clients may use 1/kBodyMemoryDivisor of the memory, at least
+// kMaxBody bytes. Up to three copies of a body exist at a time: the received body, the copy for a retry and
+// the copy that is being sent.
 constexpr std::size_t kBodyMemoryDivisor = 12;
 constexpr int kBytesPerMegabyteShift = 20;
-// Minimum idle time of an upstream connection before it is reused. Bytes that an upstream sends after the end
-// of its response, such as a second response, arrive within milliseconds and would be read as the response to
-// the next request; during this time they are detected. Each pool only needs additional connections for the
-// requests that arrive within this time.
+// Idle time in ms before an upstream connection is reused. Bytes that an upstream sends after the end of its
+// response, such as a second response, arrive within milliseconds and would be read as the response to the
+// next request. They are detected if they arrive within this time. The cost is small: each connection pool
+// needs more connections only for the requests that arrive within this time.
 constexpr Millis kQuietPeriod = 25;
 
 std::size_t max_connections(const Config& config) {
@@ -45,7 +47,7 @@
 
 Listener::Limits listener_limits(const Config& config) {
     const std::size_t body_bytes = (config.memory_mb << kBytesPerMegabyteShift) / kBodyMemoryDivisor;
-    // One less, because the listener accepts one connection beyond its limit.
+    // The limit is one lower, because the listener accepts one connection beyond its limit.
     return {max_client_connections(config) - 1, std::max<std::size_t>(kMaxBody, body_bytes)};
 }
 
--- a/src/process/state_persistence.cpp
+++ b/src/process/state_persistence.cpp
@@ -45,7 +45,7 @@
 }
 
 void StatePersistence::persist_endpoints() {
-    if (discovery_.seq() == 0) return;  // no list has been received yet
+    if (discovery_.seq() == 0) return;  // there is no endpoint list yet
     EndpointList list = driver_.endpoints();
     list.seq = discovery_.seq();
     std::ostringstream address;
--- a/src/process/state_persistence.hpp
+++ b/src/process/state_persistence.hpp
@@ -1,5 +1,6 @@
-// Decides when state is written to the state store: the configuration after each change, the endpoints once a
-// second if they changed, and once per run the confirmation that the run is not part of a crash loop.
+// Decides when state is written to the state store: the configuration after each change, and the endpoints at
+// least once a second if they changed. The confirmation that the run is not part of a crash loop is written
+// after the stable uptime and at the end of a graceful shutdown.
 #pragma once
 
 #include <memory>
@@ -19,7 +20,8 @@
     StatePersistence(asio::io_context& io, const Clock& clock, std::unique_ptr<StateStore> store,
                      const BalancerDriver& driver, const DiscoveryClient& discovery);
 
-    /// Starts the timer. `stable_uptime`: uptime in ms after which the run is confirmed as stable.
+    /// Starts the timer for the endpoints and the confirmation. `stable_uptime`: uptime in ms after which the
+    /// run is confirmed as stable.
     void start(Millis stable_uptime);
     void persist_config(const ConfigVersions& versions, const std::string& file_document);
     /// Writes the endpoints and confirms the run; called at the end of a graceful shutdown.
