--- a/tests/control/config_candidate_test.cpp
+++ b/tests/control/config_candidate_test.cpp
@@ -70,8 +70,8 @@
                                         "settings.rules is not an object"}));
 }
 
-// The platform's file has undocumented top-level fields, such as admin. They must not be read as fields of
-// the section ochregrade that have the same name.
+// The platform's file has undocumented top-level fields, such as "admin". A top-level field must not be read
+// as the field of the same name in the section "ochregrade".
 TEST(Candidate, PlatformFieldsAreIgnored) {
     json config = full_config();
     config["admin"] = "127.0.0.1:80";
@@ -80,7 +80,8 @@
     EXPECT_FALSE(read_config(config).operator_endpoint);
 }
 
-// A damaged file results in either a configuration or validation errors, never in another exception.
+// A randomly damaged file is either accepted or ends in a ConfigError that contains at least one error, each
+// with its path. It never ends in another exception.
 TEST(Candidate, RandomDamageEndsInErrorsWithPaths) {
     const Config running = read_config(full_config());
     const std::string good = full_config().dump();
--- a/tests/control/config_file_test.cpp
+++ b/tests/control/config_file_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the configuration file: reading during a replacement, overriding environment variables, and the
-// former name of the program's own section.
+// Tests of the configuration file: reading while the file is replaced, environment variables that override
+// fields, and the former name of the program's own section.
 #include <atomic>
 #include <thread>
 
--- a/tests/control/config_fixture.hpp
+++ b/tests/control/config_fixture.hpp
@@ -1,4 +1,4 @@
-// Fixtures of the tests that parse configurations: a full configuration and a collector of errors.
+// Fixtures of the tests that parse configurations: a full configuration, and the errors of reading one.
 #pragma once
 
 #include <functional>
--- a/tests/control/config_test.cpp
+++ b/tests/control/config_test.cpp
@@ -6,7 +6,7 @@
 namespace ochregrade::sidecar {
 namespace {
 
-TEST(Rollout, TakesItsShareOfAFleet) {
+TEST(Rollout, IncludesAboutTheConfiguredShareOfTheFleet) {
     int in = 0;
     for (std::uint32_t number = 0; number < 1000; ++number) {
         Config c;
--- a/tests/control/config_versions_test.cpp
+++ b/tests/control/config_versions_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the configuration versions and their canaries. The tests pass the times themselves.
+// Tests of the configuration versions and their canaries. The tests have no clock: they pass the times.
 #include "control/config_versions.hpp"
 
 #include <gtest/gtest.h>
@@ -63,7 +63,7 @@
     VersionsFixture fixture;
     fixture.answers(100, 0);
     const auto next = fixture.commit(Source::operators, 0, kCanaryRule);
-    fixture.answers(0, 200, 1);  // requests that started before the canary
+    fixture.answers(0, 200, 1);  // responses to requests that started before the canary, under version 1
     fixture.answers(40, 0, next);
     EXPECT_FALSE(fixture.versions.due(fixture.now + 6000));
     EXPECT_EQ(fixture.state(next), State::good);
@@ -128,9 +128,9 @@
 
 TEST(Rollback, SkipsVersionsNotFoundGood) {
     VersionsFixture fixture;
-    fixture.commit(Source::operators, 0, kCanaryRule);  // 2, superseded
-    fixture.commit(Source::operators);                  // 3
-    fixture.commit(Source::operators);                  // 4
+    fixture.commit(Source::operators, 0, kCanaryRule);  // version 2, superseded by version 3
+    fixture.commit(Source::operators);                  // version 3
+    fixture.commit(Source::operators);                  // version 4
     ASSERT_EQ(fixture.versions.previous()->number(), 3u);
     fixture.commit(Source::rollback, 3);
     EXPECT_EQ(fixture.versions.previous()->number(), 1u);
--- a/tests/control/operator_endpoint_test.cpp
+++ b/tests/control/operator_endpoint_test.cpp
@@ -68,8 +68,8 @@
     EXPECT_EQ(ops.post("/v1/config", config).at("result"), "applied");
 }
 
-// In the Prometheus text format each family starts with a HELP and a TYPE line; samples are name{labels}
-// value.
+// In the Prometheus text format each family starts with a HELP and a TYPE line. A sample is a line of the
+// form "name{labels} value".
 TEST(OperatorEndpoint, MetricsAreInThePrometheusTextFormat) {
     FakeServer server;
     Running sidecar(with_admin(a_config(kUnusedAddress, {host("s1", server.at())})));
--- a/tests/process/canary_watch_test.cpp
+++ b/tests/process/canary_watch_test.cpp
@@ -1,4 +1,4 @@
-// Tests of configuration canaries with real requests.
+// Tests of the canary of a new configuration in a running sidecar that serves requests.
 #include "process/node_fixture.hpp"
 
 namespace ochregrade::sidecar {
@@ -13,7 +13,7 @@
     const json response =
         ops.post("/v1/config?bake_ms=60000&margin=0.1&min_samples=10", without_class(config, "listen"));
     EXPECT_EQ(response.at("trial").at("falls_back_to"), 1);
-    // A request class that is unknown under both versions is no evidence against the canary.
+    // Requests of a class that is unknown under both versions do not count against the canary.
     for (int i = 0; i < 20; ++i) EXPECT_EQ(ask(sidecar.at, "nothing"), 400u);
     EXPECT_EQ(ops.get("/v1/config").at("state"), "on trial");
     EXPECT_TRUE(until([&] { return ask(sidecar.at, "listen") == 200u; }));
--- a/tests/process/config_manager_test.cpp
+++ b/tests/process/config_manager_test.cpp
@@ -1,5 +1,5 @@
-// Tests of configuration changes of a running sidecar through the operators' endpoint and the file: invalid
-// candidates, rollbacks and epochs.
+// Tests that change the configuration of a running sidecar through the operators' endpoint and the file:
+// invalid candidates, rollbacks and epochs.
 #include "process/node_fixture.hpp"
 
 namespace ochregrade::sidecar {
@@ -17,7 +17,8 @@
     return all + " " + limits;
 }
 
-// The configuration with one value replaced, and with other changes that would be visible if it were applied.
+// A candidate with one value replaced, and with other changes that would be visible if the candidate were
+// applied.
 json damaged(const json& config, const char* pointer, const json& value) {
     json candidate = config;
     candidate["settings"]["classes"].erase(0);
@@ -27,7 +28,7 @@
 }
 
 struct InvalidCandidate {
-    std::string field;  // path that the error must contain
+    std::string field;  // path of the field that the first error must name
     json config;
 };
 
@@ -39,7 +40,7 @@
         {"ochregrade.admin.listen", with("/ochregrade/admin/listen", "127.0.0.1:5")},
         {"discovery", with("/discovery", "nowhere")},
         {"limits.sockets", with("/limits/sockets", 3)},
-        {"limits.sockets", with("/limits/sockets", 1u << 30)},  // more than the system allows
+        {"limits.sockets", with("/limits/sockets", 1u << 30)},  // more than RLIMIT_NOFILE allows
         {"limits.memory_mb", with("/limits/memory_mb", -1)},
         {"peers[0]", with("/peers", json::array({"x"}))},
         {"ochregrade.trial.margin", with("/ochregrade/trial/margin", 2)},
@@ -60,7 +61,7 @@
 protected:
     InvalidCandidates() { discovery.wait_for(1); }
     std::string visible() { return visible_state(sidecar, operators); }
-    // Reloads the file with this text and waits for its rejection.
+    // Replaces the file's text, reloads the file and waits until it is rejected.
     void reload(const std::string& text) {
         file.replace(text);
         sidecar.reload();
@@ -99,7 +100,7 @@
     EXPECT_EQ(discovery.wait_for(1).size(), 1u) << "the watch must not be restarted";
 }
 
-TEST(Rollback, RestoresBehaviourAndNotOnlyText) {
+TEST(Rollback, RestoresBehaviourAndDocument) {
     FakeServer server;
     FakeDiscovery old, fresh;
     const json config = with_admin(a_config(old.at(), {host("s1", server.at())}));
@@ -115,7 +116,7 @@
     EXPECT_EQ(ops.post("/v1/config/rollback?expected_generation=1", nullptr, 409).at("generation"), 2);
     EXPECT_EQ(ops.post("/v1/config/rollback").at("generation"), 3);
     EXPECT_EQ(ask(sidecar.at, "listen"), 200u);
-    old.wait_for(2);  // discovery at the previous address is called again
+    old.wait_for(2);  // the second call: discovery at the previous address is in use again
     EXPECT_EQ(ops.get("/v1/config").at("config"), first);
     EXPECT_EQ(ops.get("/v1/config").at("content_of"), 1);
     EXPECT_EQ(ops.post("/v1/config/rollback", nullptr, 409).at("result"), "conflict")
@@ -147,7 +148,7 @@
     next["ochregrade"]["epoch"] = 4;
     EXPECT_EQ(ops.post("/v1/config", next).at("result"), "applied");
     EXPECT_EQ(ask(sidecar.at, "listen"), 400u);
-    // A rollback uses a new epoch, here 5. The next change therefore needs a newer epoch than 5.
+    // A rollback increases the epoch by 1, here to 5. The next change therefore needs an epoch over 5.
     EXPECT_EQ(ops.post("/v1/config/rollback").at("result"), "applied");
     EXPECT_EQ(ask(sidecar.at, "listen"), 200u);
     EXPECT_EQ(sidecar.in_loop([&] { return sidecar.node().driver().snapshot()->epoch; }), 5u);
--- a/tests/process/config_reloader_test.cpp
+++ b/tests/process/config_reloader_test.cpp
@@ -1,4 +1,4 @@
-// Tests of reloading the configuration file, as after SIGHUP.
+// Tests of reloading the configuration file, as SIGHUP causes it.
 #include "process/node_fixture.hpp"
 
 namespace ochregrade::sidecar {
@@ -29,8 +29,8 @@
     EXPECT_EQ(ops.get("/v1/config").at("generation"), 2) << "the same content is no new generation";
 }
 
-// The signal arrives while the file is partly written, and no second signal follows when the file is
-// complete.
+// The signal arrives while the file is only partly written, and no second signal follows when the file is
+// complete. The complete file must still be applied.
 TEST(Reload, AFileThatIsBeingWrittenIsReadAgain) {
     json config = with_admin(a_config(kUnusedAddress, {host("s1", kUnusedAddress)}));
     ConfigFile file(config.dump());
--- a/tests/process/config_resources_test.cpp
+++ b/tests/process/config_resources_test.cpp
@@ -25,7 +25,7 @@
     const rlim_t was = limit.rlim_cur;
     const int top = ::dup(0);
     ::close(top);
-    limit.rlim_cur = static_cast<rlim_t>(top);  // the next descriptor would reach the limit
+    limit.rlim_cur = static_cast<rlim_t>(top);  // no further descriptor can be opened
     ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &limit), 0);
     const json response = ops.post("/v1/config", next, 422);
     limit.rlim_cur = was;
@@ -51,7 +51,7 @@
         apps.back()->wire.write(App::request("deposit"));
     }
     ASSERT_TRUE(server.wait_for(60));
-    config["limits"]["sockets"] = 64;  // 19 for clients, 13 for servers
+    config["limits"]["sockets"] = 64;  // leaves 19 connections for clients and 13 for servers
     ops.post("/v1/config", config);
     EXPECT_EQ(sidecar.usage().connections, 60u) << "requests in flight must not be cut";
     const auto start = steady_clock::now();
@@ -87,7 +87,7 @@
     EXPECT_EQ(ops.post("/v1/config", next).at("generation"), 2);
     const bool early = std::chrono::duration<double>(steady_clock::now() - start).count() < 0.3;
     std::unique_ptr<App> late;
-    if (early) {  // on a stalled machine new connections are no longer accepted
+    if (early) {  // later than 0.6 s after the stop, as on a stalled machine, no connection is accepted
         late = std::make_unique<App>(sidecar.at);
         late->wire.write(App::request("deposit"));
     }
@@ -104,7 +104,7 @@
     go.set_value();
 }
 
-// Gossip must use the peer indices and the addresses of the configuration in force.
+// Datagrams to peers must use the peer indices and the addresses of the configuration in force.
 TEST(ConfigChange, MayChangePeerIndicesAndAddresses) {
     asio::io_context io(1);
     const udp::endpoint any(asio::ip::make_address("127.0.0.1"), 0);
--- a/tests/process/config_under_load_test.cpp
+++ b/tests/process/config_under_load_test.cpp
@@ -1,4 +1,4 @@
-// Tests requests while the configuration changes continuously.
+// Tests that requests are handled correctly while the configuration changes continuously.
 #include <atomic>
 #include <map>
 
@@ -7,7 +7,8 @@
 namespace ochregrade::sidecar {
 namespace {
 
-// A server that counts how often each request arrives, and fails the requests that are not idempotent.
+// A server that counts how often each request arrives. It responds 500 to requests that are not idempotent
+// (class deposit) and 200 to all others.
 class CountingServer {
 public:
     std::string at() const { return server_.at(); }
@@ -56,7 +57,8 @@
             check(app.answer(), request_class);
         }
     }
-    // The configuration may change between the two parts.
+    // Sends one request in two parts, with 1 ms between them if `pause` is true. The configuration may change
+    // between the parts.
     static void send_in_two_parts(App& app, const std::string& request_class, bool pause) {
         const std::string body = request_class == "listen" ? "" : "body";
         const std::string text = App::request(request_class, "25000m", body);
@@ -75,7 +77,8 @@
     std::vector<std::thread> threads_;
 };
 
-// A configuration that differs from `config` in the index of every class, the zones and the attempts.
+// `config` with another index for every class, another maximum number of attempts, and zones, one of them
+// this sidecar's.
 json reversed(json config) {
     json& classes = config["settings"]["classes"];
     std::reverse(classes.begin(), classes.end());
@@ -86,8 +89,8 @@
     return config;
 }
 
-// If a request were handled under a mixture of two configurations, a request that is not idempotent could be
-// retried, or a valid request rejected. Each request must get one response, under one configuration.
+// Each request must be handled under one configuration and get one response. Under a mixture of two
+// configurations, a request that is not idempotent could be retried, or a valid request be rejected.
 TEST(UnderLoad, EachRequestGetsOneResponseUnderOneConfiguration) {
     CountingServer server;
     const json one = with_admin(a_config(kUnusedAddress, {host("s1", server.at())}));
--- a/tests/process/discovery_restart_test.cpp
+++ b/tests/process/discovery_restart_test.cpp
@@ -4,7 +4,8 @@
 namespace ochregrade::sidecar {
 namespace {
 
-// A single list with a lower number may be a late response. Only repeated lower numbers mean a restart.
+// A single list with a lower sequence number may be a late response. Only repeated lower numbers mean that
+// discovery has restarted.
 TEST(DiscoveryRestart, IsFollowedAfterRepeatedLowerNumbers) {
     FakeServer first, second;
     FakeDiscovery discovery;
--- a/tests/process/node_fixture.hpp
+++ b/tests/process/node_fixture.hpp
@@ -1,4 +1,5 @@
-// Fixtures for tests of a complete sidecar with an operators' endpoint whose configuration changes.
+// Fixtures for tests that change the configuration of a complete sidecar, mostly through its operators'
+// endpoint.
 #pragma once
 
 #include <chrono>
--- a/tests/process/recorded_http_test.cpp
+++ b/tests/process/recorded_http_test.cpp
@@ -1,6 +1,6 @@
-// Compares the bytes that the sidecar sends to servers, clients and discovery with the bytes recorded in
-// tests/recorded/http. Only values that differ between runs are masked: the time left in microseconds
-// (X-Time-Left), the wait of a watch in milliseconds (wait_ms), and Retry-After in seconds.
+// Compares the bytes that the sidecar sends to servers, clients and discovery with the bytes that an earlier
+// version sent (tests/recorded/http). Only values that differ between runs are masked: the time left in
+// microseconds (X-Time-Left), the wait of a watch in milliseconds (wait_ms), and Retry-After in seconds.
 #include <algorithm>
 #include <charconv>
 #include <string_view>
@@ -30,8 +30,8 @@
            only_digits(value.substr(2));
 }
 
-// A value that differs between runs: the text before and after the value, and the format it must have to be
-// masked.
+// A value that differs between runs: the texts before and after it, and the check of its format. A value with
+// another format is not masked, so that the comparison fails.
 struct VaryingValue {
     std::string_view before;
     std::string_view after;
@@ -61,7 +61,7 @@
     recorded::expect_same("http/" + name + ".txt", masked(bytes));
 }
 
-// The value of Content-Length in the head of a message; 0 if the field is missing.
+// The value of Content-Length in the head of a message; 0 if the field is missing or is no number.
 std::size_t content_length(std::string_view head) {
     constexpr std::string_view kField = "\r\nContent-Length: ";
     const auto at = head.find(kField);
@@ -71,8 +71,9 @@
     return length;
 }
 
-// Reads the bytes of one complete message, whose end follows from Content-Length; fewer bytes if the peer
-// closes the connection. The peer must not send a second message before the first has been read.
+// Reads the bytes of one message. Its length follows from Content-Length, so a chunked body is read only as
+// far as it arrives with the head. Returns fewer bytes if the peer closes the connection. The peer must not
+// send a second message before the first has been read, because its bytes could be returned with the first.
 std::string read_bytes(Wire& wire) {
     std::string all;
     for (std::size_t whole = std::string::npos; all.size() < whole;) {
@@ -87,7 +88,7 @@
     return all;
 }
 
-// A server that sends the same response to each request; an empty text means no response at all.
+// A server that sends the response `answer` to each request; with an empty `answer` it sends no response.
 class ByteServer {
 public:
     explicit ByteServer(std::string answer)
@@ -122,7 +123,8 @@
     return all;
 }
 
-// Returns the response; if the response closes the connection, also all bytes after the response.
+// Sends the request on a new connection and returns the response. If the response announces that the
+// connection is closed, all bytes after the response are returned too.
 std::string ask(const tcp::endpoint& at, const std::string& request) {
     App app(at);
     app.wire.write(request);
@@ -157,7 +159,7 @@
 
 class RecordedExchange : public testing::TestWithParam<Exchange> {};
 
-TEST_P(RecordedExchange, HasTheSameBytesToServerAndClient) {
+TEST_P(RecordedExchange, SendsTheRecordedBytesToServerAndClient) {
     const Exchange& exchange = GetParam();
     ByteServer server(exchange.answer);
     Running sidecar(a_config(kUnusedAddress, {host("s1", server.at())}));
@@ -203,7 +205,7 @@
 
 class RecordedInvalidRequest : public testing::TestWithParam<InvalidRequest> {};
 
-TEST_P(RecordedInvalidRequest, GetsTheSameBytes) {
+TEST_P(RecordedInvalidRequest, GetsTheRecordedErrorResponse) {
     Running sidecar(a_config(kUnusedAddress, {host("s1", kUnusedAddress)}));
     const std::string answer = ask(sidecar.at, GetParam().request);
     EXPECT_EQ(answer.substr(0, 13), std::string("HTTP/1.1 ") + GetParam().status + " ");
@@ -231,7 +233,7 @@
 
 const std::string kHealth = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
 
-TEST(RecordedResponses, OfHealthAreTheSameBytes) {
+TEST(RecordedResponses, ToHealthChecksHaveTheRecordedBytes) {
     Running ready(a_config(kUnusedAddress, {host("s1", kUnusedAddress)}));
     expect_recorded("health-ready", ask(ready.at, kHealth));
     json config = a_config(kUnusedAddress, {});
@@ -240,19 +242,19 @@
     expect_recorded("health-not-ready", ask(unready.at, kHealth));
 }
 
-TEST(RecordedResponses, WhereNoServerCanBeReachedAreTheSameBytes) {
+TEST(RecordedResponses, WithoutReachableServerHaveTheRecordedBytes) {
     Running sidecar(a_config(kUnusedAddress, {host("s1", kUnusedAddress)}));
     const std::string answer = ask(sidecar.at, replaced(kPost, "25000m", "300m"));
     expect_recorded("no-server-to-client", answer);
 }
 
-TEST(RecordedResponses, WhereTheServerIsSilentAreTheSameBytes) {
+TEST(RecordedResponses, WithSilentServerHaveTheRecordedBytes) {
     ByteServer silent("");
     Running sidecar(a_config(kUnusedAddress, {host("s1", silent.at())}));
     expect_recorded("silent-server-to-client", ask(sidecar.at, replaced(kPost, "25000m", "300m")));
 }
 
-TEST(RecordedResponses, ToCorrelationIdInUseAreTheSameBytes) {
+TEST(RecordedResponses, ToCorrelationIdInUseHaveTheRecordedBytes) {
     ByteServer silent("");
     Running sidecar(a_config(kUnusedAddress, {host("s1", silent.at())}));
     App first(sidecar.at);
@@ -269,7 +271,7 @@
     return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-TEST(RecordedDiscovery, IsAskedForTheWholeListAndThenWatchedInTheSameBytes) {
+TEST(RecordedDiscovery, CallsForListAndWatchHaveTheRecordedBytes) {
     ByteServer discovery(list_answer());
     json config = a_config(discovery.at(), {});
     config.erase("known");
@@ -279,7 +281,7 @@
     expect_recorded("discovery-watch", calls.at(1));
 }
 
-TEST(RecordedDiscovery, IsWatchedFromTheKnownListInTheSameBytes) {
+TEST(RecordedDiscovery, WatchFromTheKnownListHasTheRecordedBytes) {
     ByteServer discovery("");
     Running sidecar(a_config(discovery.at(), {host("s1", kUnusedAddress)}));
     expect_recorded("discovery-watch-from-known", discovery.wait_for(1).at(0));
