--- a/src/fleet/replication_driver.cpp
+++ b/src/fleet/replication_driver.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr double kWithdrawalReporters = 12;                    // members of the fleet, on average
+constexpr double kWithdrawalReporters = 12;                    // members that report a withdrawal, on average
 constexpr double kHashValues = 4294967296.0;                   // number of values of a 32-bit hash
 constexpr std::uint64_t kGoldenRatio = 0x9e3779b97f4a7c15ULL;  // Fibonacci hashing (Knuth, TAOCP 3, 6.4)
 
--- a/src/replication/anti_entropy.cpp
+++ b/src/replication/anti_entropy.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t kMaxReplyDatagrams = 8;       // in the reply to a digest or a summary
 constexpr std::size_t kMaxPullReplyDatagrams = 40;  // in the reply to a pull
-constexpr double kRepliesPerSecond = 100;           // datagrams of all replies together
+constexpr double kRepliesPerSecond = 100;           // that admit_reply() admits; also the most at once
 
 }  // namespace
 
@@ -83,7 +83,8 @@
 
 // ---- Replies ---------------------------------------------------------------------------------------------
 
-// A request costs its sender little, so the rate of all replies together is limited.
+// The rate of all replies together is limited because one request, which costs its sender little, may cause
+// many reply datagrams. Acks are not limited.
 bool AntiEntropy::admit_reply(Millis now) {
     if (reply_budget_.take(now)) return true;
     ++counts_.unanswered;
@@ -93,7 +94,8 @@
 void AntiEntropy::reply_to_digest(Millis now, MemberId from, const Datagram& digest,
                                   std::vector<Outgoing>& out) {
     std::vector<std::uint8_t> ranges = differing_ranges(digest);
-    // Random order: with a fixed order, the limit on datagrams would cut off the same ranges every time.
+    // The order is random because with a fixed order the limit on datagrams would cut off the same ranges
+    // every time.
     for (std::size_t i = ranges.size(); i > 1; --i) std::swap(ranges[i - 1], ranges[random_.below(i)]);
     Datagram summary = sender_.make(Kind::summary);
     std::size_t sent = 0;
@@ -115,7 +117,7 @@
 void AntiEntropy::reply_to_summary(Millis now, MemberId from, const Datagram& summary,
                                    std::vector<Outgoing>& out) {
     std::vector<MemberId> members;
-    std::vector<Item> items;  // requests for the sender's states, then the states to send
+    std::vector<Item> items;  // requests for states that the sender of the summary holds, then own states
     for (const Item& item : summary.items) {
         if (const auto* theirs = std::get_if<FingerprintItem>(&item)) {
             if (!members_.contains(theirs->member) ||
@@ -130,8 +132,8 @@
     if (members.empty()) return;
     // Further differences are likely, so the next digest is sent sooner.
     next_sync_ = std::min(next_sync_, now + options_.sync_period / 4);
-    // The reply is a summary only if it requests states. The reply to such requests is gossip, which ends the
-    // exchange.
+    // A reply that requests states is a summary. A reply without requests is gossip, to which the receiver
+    // does not reply, so the exchange ends; its token of 1 marks this gossip as a reply.
     const bool requests_nothing = items.empty();
     Datagram last = sender_.make(requests_nothing ? Kind::gossip : Kind::summary);
     last.token = requests_nothing ? 1 : 0;
@@ -145,7 +147,8 @@
     for (std::size_t i = 0; i < members_.size(); ++i)
         if (std::binary_search(ranges.begin(), ranges.end(), static_cast<std::uint8_t>(range_of(i))))
             members.push_back(static_cast<MemberId>(i));
-    // The reply starts at a random member: if the limit cuts it short, another member's reply has the rest.
+    // The reply starts with the state of a random member. If a limit cuts the reply short, the states that it
+    // lacks are likely to be in the reply of another member, which starts elsewhere.
     if (!members.empty()) {
         const auto first = static_cast<std::ptrdiff_t>(random_.below(members.size()));
         std::rotate(members.begin(), members.begin() + first, members.end());
@@ -163,8 +166,9 @@
         for (const Item& item : members_.items_of(id)) items.push_back(item);
 }
 
-// Sends the items in as many datagrams as they need, up to the limits. All datagrams have the header of
-// `last`, but only the last datagram has the subject of `last`.
+// Sends the items in as many datagrams as the items need, up to the limits on the number and the rate of
+// datagrams; the remaining items are left out. All datagrams have the header of `last`, but only the last
+// datagram has the subject of `last`.
 void AntiEntropy::send_states(Millis now, MemberId to, const std::vector<Item>& items, const Datagram& last,
                               std::vector<Outgoing>& out) {
     const std::size_t max_datagrams = last.subject != 0 ? kMaxPullReplyDatagrams : kMaxReplyDatagrams;
--- a/src/replication/anti_entropy.hpp
+++ b/src/replication/anti_entropy.hpp
@@ -1,8 +1,9 @@
-// Anti-entropy: each member periodically sends a digest to one other member, and the two exchange the states
-// in which their copies differ. The exchange has three steps: a hash for each range of members (digest), a
-// fingerprint for each member of the ranges that differ (summary), then the states of the members that
-// differ. Times are Unix milliseconds. Source: the hash trees of Dynamo (DeCandia et al. 2007), with two
-// levels.
+// Anti-entropy: each member periodically sends a digest to one other member, and the two members exchange the
+// states that differ between their copies. The exchange has three steps:
+//   1. digest: a hash for each range of members,
+//   2. summary: a fingerprint for each member of the ranges whose hashes differ,
+//   3. the states of the members whose fingerprints differ.
+// Times are Unix milliseconds. Source: the hash trees of Dynamo (DeCandia et al. 2007), with two levels.
 #pragma once
 
 #include <array>
@@ -23,16 +24,19 @@
     Millis due() const { return next_sync_; }
     void advance(Millis now, std::vector<Outgoing>& out);
 
-    /// Adds a hash for each range of members.
+    /// Adds this member's hash for each range of members to the datagram.
     void add_digest(Datagram& datagram) const;
     /// Hash of the state of all known members: equal at replicas that agree.
     std::uint32_t fingerprint() const;
-    /// Whether the rate limit admits one more reply datagram; each one not admitted is counted.
+    /// Whether the rate limit on replies admits one more datagram. A datagram that the limit does not admit
+    /// is counted in ReplicaCounts::unanswered.
     bool admit_reply(Millis now);
 
     void reply_to_digest(Millis now, MemberId from, const Datagram& digest, std::vector<Outgoing>& out);
     void reply_to_summary(Millis now, MemberId from, const Datagram& summary, std::vector<Outgoing>& out);
-    /// Replies to a member that is catching up; a subject other than 0 marks the last datagram of the reply.
+    /// Replies to a member that is catching up. A subject other than 0 marks the last datagram of the reply.
+    /// The reply may be incomplete, and without a last datagram, because the number and the rate of datagrams
+    /// are limited.
     void reply_to_pull(Millis now, MemberId from, const Datagram& pull, std::vector<Outgoing>& out);
 
 private:
--- a/src/replication/broadcaster.cpp
+++ b/src/replication/broadcaster.cpp
@@ -6,9 +6,10 @@
 
 namespace {
 
-// Delay of a broadcast (milliseconds): records published meanwhile are sent in the same datagram.
+// Delay of a broadcast (milliseconds). Records that are published during the delay are sent in the same
+// datagram.
 constexpr Millis kBatchDelay = 20;
-constexpr double kMaxBurst = 3;  // broadcasts that the budget admits at once
+constexpr double kMaxBurst = 3;  // broadcasts that a full budget admits at once
 
 }  // namespace
 
--- a/src/replication/broadcaster.hpp
+++ b/src/replication/broadcaster.hpp
@@ -1,6 +1,6 @@
-// Broadcasts new records of this member: one datagram reaches all other members. Broadcasts are for records
-// that all members need and few have. The members share the fleet's rate budget equally. Times are Unix
-// milliseconds.
+// Broadcasts new records of this member: one datagram is sent to all other members. Broadcasts are for
+// records that all members need and few have. Each member has an equal share of the fleet's rate budget
+// (Options::broadcasts_per_second). Times are Unix milliseconds.
 #pragma once
 
 #include <vector>
@@ -18,12 +18,15 @@
     void start(Millis now) { budget_.fill(now); }
     void stop() { due_ = kNever; }
 
-    /// Each adds the record to the next broadcast, or returns false if the rate budget is used up.
+    /// Each adds this member's record to the next broadcast, or returns false if this member's share of the
+    /// rate budget is used up.
     bool add_evidence(Millis now, EndpointKey endpoint);
     bool add_versions(Millis now);
 
-    /// When the next broadcast is due. Until then, newly published records are added to its datagram.
+    /// When the next broadcast is due; kNever if no record is waiting. Until then, records that are added go
+    /// into the datagram of this broadcast.
     Millis due() const { return due_; }
+    /// Sends the broadcast. Evidence that does not fit the datagram becomes a pending update.
     void send(Millis now, std::vector<Outgoing>& out);
 
 private:
--- a/src/replication/catch_up.cpp
+++ b/src/replication/catch_up.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-constexpr std::size_t kPulledMembers = 3;  // per pull
-constexpr std::size_t kRepliesNeeded = 2;  // from different members
+constexpr std::size_t kPulledMembers = 3;  // members to which one pull is sent, at most
+constexpr std::size_t kRepliesNeeded = 2;  // from different members; 1 in a fleet of two
 constexpr Millis kRetryInterval = 250;     // milliseconds between pulls, plus a random 0 to 50 %
-constexpr int kMaxPulls = 12;
+constexpr int kMaxPulls = 12;              // after a start, a restart or a resumption
 
 }  // namespace
 
@@ -59,7 +59,8 @@
     for (const MemberId to : pulled) {
         Datagram datagram = sender_.make(Kind::pull);
         datagram.token = sender_.next_token();
-        if (datagram.token == 0) datagram.token = sender_.next_token();  // token 0: not a reply
+        // The reply has the same token, and token 0 would mark it as no reply.
+        if (datagram.token == 0) datagram.token = sender_.next_token();
         anti_entropy_.add_digest(datagram);
         sender_.send(to, std::move(datagram), out, DatagramSender::Updates::none);
     }
--- a/src/replication/catch_up.hpp
+++ b/src/replication/catch_up.hpp
@@ -1,6 +1,6 @@
-// Catch-up of a member that has just started or was paused: pulls the state of a few other members, and
-// repeats the pull until enough members have replied or the limit of pulls is reached. Times are Unix
-// milliseconds.
+// Catch-up of this member after a start or a pause of its process: requests from a few other members all
+// state that they hold and this member lacks (a pull), and repeats the pull until enough members have replied
+// or the maximum number of pulls has been sent. Times are Unix milliseconds.
 #pragma once
 
 #include <vector>
@@ -20,15 +20,18 @@
           random_(random) {}
 
     void start(Millis now, std::vector<Outgoing>& out);
-    /// Starts over after a pause of this process, during which updates may have been missed.
+    /// Starts the catch-up again after a pause of this process, because this member may have missed updates
+    /// during the pause.
     void restart(Millis now, std::vector<Outgoing>& out);
-    /// Restarts a catch-up that ended at the limit of pulls; called when another member has sent a datagram.
+    /// Resumes a catch-up that stopped at the maximum number of pulls. To be called when a datagram of
+    /// another member has arrived.
     void resume(Millis now);
     void stop() { next_pull_ = kNever; }
     Millis due() const { return next_pull_; }
     void advance(Millis now, std::vector<Outgoing>& out);
 
-    /// To be called when the last datagram of the member's reply to a pull has arrived.
+    /// To be called when the last datagram of the member's reply to a pull has arrived. Has no effect while
+    /// no pull is scheduled. Does not check whether earlier datagrams of the reply were lost.
     void answered(MemberId from);
     bool finished() const { return finished_; }
 
@@ -42,7 +45,7 @@
     Random& random_;
     Millis next_pull_ = kNever;
     int pulls_ = 0;
-    std::vector<MemberId> replied_;  // members whose reply is complete
+    std::vector<MemberId> replied_;  // members whose last reply datagram has arrived
     bool finished_ = false;
 };
 
--- a/src/replication/codec.cpp
+++ b/src/replication/codec.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-// The fields of each item in wire order: the single description used for sizes, encoding and decoding.
+// Each fields() visits the fields of an item in the order in which they are encoded. Sizes, encoding and
+// decoding all use these functions.
 template <class Visit>
 void fields(MemberItem& i, Visit visit) {
     visit(i.member), visit(i.state.epoch), visit(i.state.incarnation), visit(i.state.status);
--- a/src/replication/datagram_sender.cpp
+++ b/src/replication/datagram_sender.cpp
@@ -12,12 +12,13 @@
 
 void DatagramSender::send(MemberId to, Datagram datagram, std::vector<Outgoing>& out, Updates updates) {
     if (to == members_.self() || !members_.contains(to)) return;
-    // A suspect or dead receiver gets that state as the first item, since only the receiver can refute it.
+    // If the receiver is suspect or dead in this member's table, the datagram contains that state, because
+    // only the receiver can refute it.
     const OriginState& receiver = members_.at(to);
     if (receiver.member_state().status != Status::alive)
         datagram.add(MemberItem{to, receiver.member_state(), receiver.highest_sequence()});
-    // Pings and acks contain this member's versions, so that a member that was cut off receives the versions
-    // with the next probe.
+    // Pings and acks contain this member's versions, so that a member that was disconnected from the network
+    // receives the versions with the next probe.
     if (datagram.kind == Kind::ping || datagram.kind == Kind::ack)
         if (const auto versions = members_.item(UpdateKey::versions(members_.self())))
             datagram.add(*versions);
--- a/src/replication/datagram_sender.hpp
+++ b/src/replication/datagram_sender.hpp
@@ -1,5 +1,5 @@
-// Assembles the datagrams that the caller sends: fills in the header, attaches pending updates and the state
-// that the receiver may have to refute, and counts datagrams and bytes.
+// Assembles the datagrams that the caller sends: fills in the header, attaches pending updates, attaches the
+// receiver's own state if the receiver is suspect or dead, and counts datagrams and bytes.
 #pragma once
 
 #include "replication/pending_updates.hpp"
@@ -13,12 +13,12 @@
     DatagramSender(const MemberTable& members, PendingUpdates& updates, ReplicaCounts& counts)
         : members_(members), updates_(updates), counts_(counts) {}
 
-    /// A datagram with this member's epoch and incarnation.
+    /// An empty datagram with this member's epoch and incarnation.
     Datagram make(Kind kind) const;
-    /// Token for the next request of any kind; wraps around.
+    /// Token for the next request of any kind. Tokens start at 1 and wrap around to 0.
     std::uint16_t next_token() { return next_token_++; }
 
-    /// Sends to another member; does nothing if `to` is this member or no member of the fleet.
+    /// Sends the datagram to another member; does nothing if `to` is this member or no member of the fleet.
     void send(MemberId to, Datagram datagram, std::vector<Outgoing>& out, Updates updates = Updates::attach);
     void send_to_all(const Datagram& datagram, std::vector<Outgoing>& out);
 
--- a/src/replication/evidence_view.cpp
+++ b/src/replication/evidence_view.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr Millis kRebuildPeriod = 50;         // least time between rebuilds (ms)
-constexpr std::size_t kMaxConfirmations = 8;  // requests per rebuild
-constexpr Millis kConfirmPeriod = 500;        // milliseconds between requests to the same origin
+constexpr Millis kRebuildPeriod = 50;         // minimum time between rebuilds (ms)
+constexpr std::size_t kMaxConfirmations = 8;  // requests for confirmation per rebuild
+constexpr Millis kConfirmPeriod = 500;        // minimum time between requests to an origin (ms)
 constexpr double kLatencyRatioUnit = 64.0;    // Evidence::latency_ratio counts in 1/64
 
 bool reports_failure(const Evidence& evidence) {
@@ -96,8 +96,9 @@
     request_confirmations(now, indirect, out);
 }
 
-// The order in which origins are asked. A reply contains all records of its origin, so origins that report
-// more endpoints come first; ties are in random order.
+// The order in which origins are asked to confirm, without those asked within kConfirmPeriod. Origins that
+// report more of the endpoints come first, because a reply contains all records of its origin. Ties are in
+// random order.
 std::vector<MemberId> EvidenceView::confirmation_order(const IndirectReporters& indirect) {
     std::map<MemberId, int> endpoints_reported;
     for (const auto& [endpoint, origins] : indirect)
@@ -118,7 +119,7 @@
                                          std::vector<Outgoing>& out) {
     std::erase_if(requested_at_, [&](const auto& entry) { return now >= entry.second + kConfirmPeriod; });
     std::set<MemberId> chosen;
-    // Whether the origin reports an endpoint for which too few origins have been asked so far.
+    // Whether the origin reports an endpoint for which fewer than kQuorum origins have been asked.
     const auto is_needed = [&](MemberId origin) {
         return std::any_of(indirect.begin(), indirect.end(), [&](const auto& entry) {
             const std::vector<MemberId>& origins = entry.second;
@@ -139,7 +140,7 @@
         sender_.send(origin, std::move(request), out);
     }
     for (const MemberId origin : chosen) requested_at_[origin] = now;
-    // Replies may get lost, so the next rebuild checks again.
+    // A request or its reply may be lost, so the next rebuild checks again whether confirmations are missing.
     if (!requested_at_.empty() && !indirect.empty()) outdated_ = true;
 }
 
--- a/src/replication/failure_detector.cpp
+++ b/src/replication/failure_detector.cpp
@@ -7,22 +7,24 @@
 
 namespace {
 
-// Greatest probability that a probe of a running member fails. From this bound and the share of lost pings
-// follows the number of pings of a probe, at most kMaxPings.
+// Upper bound of the probability that a probe of a running member fails. The number of pings for which a
+// probe has time, at most kMaxPings, follows from this bound and the share of lost pings. If the share is so
+// high that more than kMaxPings pings were needed, the bound does not hold.
 constexpr double kMaxFalsePositiveRate = 0.002;
 constexpr double kMaxPings = 25;
-constexpr double kMinLoss = 0.01;
-constexpr double kMaxLoss = 0.99;
-constexpr double kMinSuspicionProbes = 2.0;
-constexpr double kDirectPingers = 24;  // members of the fleet, on average, that ping a suspect directly
-// Probability that a ping to a dead or unknown member accompanies a probe: that member may have restarted, or
-// a partition may have healed.
+constexpr double kMinLoss = 0.01;            // lower bound of the share of lost pings in this computation
+constexpr double kMaxLoss = 0.99;            // upper bound of that share
+constexpr double kMinSuspicionProbes = 2.0;  // probe intervals until a suspicion expires, at least
+constexpr double kDirectPingers = 24;        // members of the fleet, on average, that ping a suspect directly
+// Probability that this member, when it starts a probe, also pings a random dead or unknown member, because
+// that member may have restarted or a partition may have healed.
 constexpr double kUnreachablePingProbability = 0.5;
 
 }  // namespace
 
 void FailureDetector::start(Millis now) {
-    // The first delay is random, so that members started at the same moment do not probe in step.
+    // The first delay is random, so that members that start at the same moment do not probe at the same
+    // times.
     next_probe_ = now + parts_.options.probe_period * parts_.random.unit();
 }
 
@@ -111,7 +113,7 @@
     if (!first && !probe_.indirect_probes_requested) request_indirect_probes(out);
 }
 
-// Asks other members to ping the target too, once per probe.
+// Asks other members to ping the target too. Called once per probe, at the second ping.
 void FailureDetector::request_indirect_probes(std::vector<Outgoing>& out) {
     probe_.indirect_probes_requested = true;
     const auto helpers =
@@ -129,7 +131,7 @@
 void FailureDetector::end_probe(Millis now) {
     if (!probe_.active) return;
     probe_.active = false;
-    parts_.ping_loss.restore(probe_.loss_before);  // pings to a failed member are no measure of loss
+    parts_.ping_loss.restore(probe_.loss_before);  // a failed member sends no acks, also without loss
     if (parts_.members.at(probe_.target).member_state().status != Status::alive) return;
     ++parts_.counts.suspected;
     set_status(now, probe_.target, Status::suspect);
@@ -176,8 +178,8 @@
     }
     const Millis time = suspicion_timeout();
     suspicions_[id] = now + time;
-    // A few of the members that suspect member `id` ping that member directly: the ping contains the
-    // suspicion, and the ack contains the refutation.
+    // On average kDirectPingers members of the fleet ping the suspect `id` directly, at a random time before
+    // the suspicion expires. The ping contains the suspicion, and the ack contains the refutation.
     if (parts_.random.unit() * static_cast<double>(parts_.members.size()) < kDirectPingers)
         direct_pings_[id] = now + time * parts_.random.unit();
 }
--- a/src/replication/failure_detector.hpp
+++ b/src/replication/failure_detector.hpp
@@ -1,8 +1,9 @@
-// Failure detection: probes one member per period, directly and through other members, suspects a member that
-// does not reply, and declares a suspect dead that does not refute the suspicion in time. Each member is
-// probed once per round, in random order. The more pings are lost, the more pings a probe sends before the
-// member is suspected, so loss delays detection but causes few false suspicions. Times are Unix milliseconds.
-// Sources: SWIM (Das, Gupta, Motivala 2002); local health after Lifeguard (Dadgar, Phillips, Currey 2018).
+// Failure detection: probes one member at a time, directly and through other members, suspects a member that
+// does not reply, and declares a suspect dead that does not refute the suspicion in time. In each round, each
+// member that is known and not dead is probed once, in random order. If many pings are lost, a probe sends
+// more pings before the member is suspected. Loss therefore delays detection but causes few false suspicions.
+// Times are Unix milliseconds. Sources: SWIM (Das, Gupta, Motivala 2002); local health after Lifeguard
+// (Dadgar, Phillips, Currey 2018).
 #pragma once
 
 #include <array>
@@ -33,17 +34,19 @@
     void stop();
     Millis due() const;
     void advance(Millis now, std::vector<Outgoing>& out);
-    /// Ends the current probe and extends all suspicions after a pause of this process of `pause` ms: the
-    /// replies of other members could not be received meanwhile.
+    /// To be called after this process was paused for `pause` milliseconds. Ends the current probe without a
+    /// suspicion and extends all suspicions by `pause`, because this process could not receive replies during
+    /// the pause.
     void process_paused(Millis now, Millis pause);
 
-    /// Ends the probe of the member that has sent a datagram: any datagram shows that its sender is alive.
+    /// Ends the current probe if the sender of a received datagram is the probed member: any datagram shows
+    /// that its sender is alive.
     void received_from(MemberId from);
     void handle_ping(MemberId from, const Datagram& ping, std::vector<Outgoing>& out);
     void handle_probe_request(MemberId from, const Datagram& request, std::vector<Outgoing>& out);
     void handle_ack(MemberId from, const Datagram& ack, std::vector<Outgoing>& out);
-    /// To be called when the member's epoch, incarnation or status in the table has changed: starts or ends
-    /// the suspicion and disseminates the new state.
+    /// To be called when the member's epoch, incarnation or status in the table has changed. Starts or ends
+    /// the suspicion of the member and disseminates the member's new state.
     void member_state_changed(Millis now, MemberId id);
 
 private:
@@ -56,7 +59,7 @@
         bool indirect_probes_requested = false;
         bool first_ping = false;
     };
-    /// A ping sent on another member's behalf.
+    /// A ping that this member has sent to the target because the requester asked for it.
     struct RelayedProbe {
         std::uint16_t own_token = 0;
         std::uint16_t requester_token = 0;
@@ -78,13 +81,13 @@
     Millis suspicion_timeout() const;
 
     Parts parts_;
-    std::vector<MemberId> round_;  // members not yet probed in this round; the last one is next
+    std::vector<MemberId> round_;  // members not yet probed in this round; the last element is next
     Millis next_probe_ = kNever;
     Probe probe_;
-    std::array<RelayedProbe, 64> relayed_{};
+    std::array<RelayedProbe, 64> relayed_{};  // the latest; a new one replaces the oldest
     std::size_t next_relayed_ = 0;
-    std::map<MemberId, Millis> suspicions_;    // suspects, and when each suspicion expires
-    std::map<MemberId, Millis> direct_pings_;  // suspects that this member pings directly, and when
+    std::map<MemberId, Millis> suspicions_;    // when the suspicion of each suspect expires
+    std::map<MemberId, Millis> direct_pings_;  // when this member pings a suspect directly; not all suspects
 };
 
 }  // namespace ochregrade::replication
--- a/src/replication/member_table.hpp
+++ b/src/replication/member_table.hpp
@@ -1,6 +1,6 @@
-// Table of the replicated state of all members of the fleet, including this one. The table selects members at
-// random, makes the items of datagrams from records, and holds the latest time seen (Unix milliseconds), from
-// which the remaining lifetime of records is computed.
+// Table of the replicated state of all members of the fleet, including this member. The table selects members
+// at random and makes the items of datagrams from records. It stores the latest time (Unix milliseconds) that
+// the replica has passed in, and computes the remaining lifetime of records from that time.
 #pragma once
 
 #include <compare>
@@ -32,12 +32,12 @@
 public:
     /// Which members a random selection prefers.
     enum class Preference {
-        alive_only,   // dead or unknown members only if no other member is alive
-        alive_first,  // dead or unknown members only to make up the number
+        alive_only,   // dead or unknown members only if no other member is known and not dead
+        alive_first,  // dead or unknown members only if there are too few others
     };
 
-    /// `epoch`: Unix seconds of the process start. Throws std::invalid_argument if `self` is not below
-    /// `members`, or `members` is not 1 to kMaxMembers.
+    /// `epoch`: Unix seconds of the process start; 0 counts as 1. Throws std::invalid_argument if `self` is
+    /// not below `members`, or `members` is not 1 to kMaxMembers.
     MemberTable(MemberId self, std::size_t members, std::uint32_t epoch);
 
     MemberId self() const { return self_; }
@@ -50,23 +50,25 @@
     /// Whether the member is known and not dead.
     bool is_alive(MemberId id) const;
 
-    std::size_t alive_count() const;  // including this one
+    std::size_t alive_count() const;  // members that are known and not dead, including this member
     std::size_t evidence_count() const;
-    /// Number of members that act on these versions and are not dead, including this one.
+    /// Number of members that are not dead and whose records say that they act on these versions. Includes
+    /// this member.
     std::size_t acting_on(const Versions& versions) const;
-    /// The versions that all other members act on, without those of dead members.
+    /// The latest known versions record of each other member that is not dead.
     std::vector<std::pair<MemberId, Record<Versions>>> versions() const;
     /// Up to `count` other members, drawn without replacement.
     std::vector<MemberId> random_others(Random& random, std::size_t count, Preference preference) const;
 
-    /// Latest time seen (Unix milliseconds); it never goes back.
+    /// Sets the latest time (Unix milliseconds); an earlier `now` is ignored.
     void advance_clock(Millis now) { now_ = std::max(now_, now); }
-    /// Removes expired evidence; returns whether there was any.
+    /// Removes the expired evidence of all members; returns whether there was any.
     bool expire(Millis now);
 
-    /// None if there is no such record or its remaining lifetime is below kLifetimeUnit.
+    /// The item with the key; none if there is no such record or the remaining lifetime of evidence is below
+    /// kLifetimeUnit.
     std::optional<Item> item(const UpdateKey& key) const;
-    /// Items for all state held of a member; empty if the member is unknown.
+    /// Items for the whole state of a member in this table; empty if the member is unknown.
     std::vector<Item> items_of(MemberId id) const;
 
 private:
--- a/src/replication/own_records.cpp
+++ b/src/replication/own_records.cpp
@@ -8,8 +8,8 @@
 
 constexpr std::uint32_t kMaxSequence = 1U << 30;
 constexpr std::uint32_t kMaxIncarnation = std::numeric_limits<std::uint32_t>::max() - 1;
-// Least time between new epochs (milliseconds): without a limit, a forger could make this member fill all
-// datagrams with new epochs.
+// Minimum time from a new epoch to a further one because of a false epoch or sequence (milliseconds). Without
+// this limit, a forger could make this member fill all datagrams with new epochs.
 constexpr Millis kMinEpochInterval = 1000;
 
 }  // namespace
@@ -31,8 +31,9 @@
     const std::size_t already_acting = parts_.members.acting_on(versions);
     own.join(own.member_state().epoch, Record<Versions>{++sequence_, versions, kNever, true});
     if (already_acting >= kMaxDisseminatedOrigins) return;
-    // Versions are sent both as updates and as a broadcast: a member that misses the broadcast acts on an
-    // older version until the record reaches that member in another datagram.
+    // Versions are sent as an update and, if the rate budget admits it, also as a broadcast. The update is
+    // needed because a member that misses the broadcast acts on an older version until another datagram
+    // brings the record.
     parts_.updates.add(now, UpdateKey::versions(parts_.members.self()));
     parts_.broadcaster.add_versions(now);
 }
@@ -79,7 +80,8 @@
     parts_.updates.add(now, UpdateKey::member(parts_.members.self()));
 }
 
-// Writes all records again under the new epoch, since other members discard records of the earlier epoch.
+// Writes all records of this member again in the new epoch, because other members discard the records of the
+// earlier epoch. Evidence keeps its expiry.
 void OwnRecords::start_epoch(Millis now, std::uint32_t epoch) {
     epoch_started_at_ = now;
     const MemberId self = parts_.members.self();
--- a/src/replication/own_records.hpp
+++ b/src/replication/own_records.hpp
@@ -1,7 +1,8 @@
-// Records of this member: numbers and publishes the writes of this member, and refutes false states and
-// records of this member that arrive from other members. A higher incarnation refutes a suspicion (SWIM). A
-// later epoch replaces records that this process never wrote: records of an earlier process, or forged ones.
-// Times are Unix milliseconds.
+// Records whose origin is this member: numbers and publishes the writes of this member, and refutes false
+// states and records of this member that arrive from other members. This member refutes a suspicion with a
+// higher incarnation (SWIM). It refutes records that this process did not write with a later epoch, which
+// replaces all earlier records; such records come from an earlier process or are forged. Times are Unix
+// milliseconds.
 #pragma once
 
 #include "replication/broadcaster.hpp"
@@ -24,9 +25,14 @@
     void publish(Millis now, EndpointKey endpoint, const Evidence& evidence);
     void publish(Millis now, const Versions& versions);
 
-    /// Refutes another member's state of this member, if that state is false.
+    /// Refutes a received state of this member if the state is false: a later epoch, a sequence that this
+    /// member has not reached, a higher incarnation, or suspect or dead at this member's incarnation.
+    /// Refutations that need a new epoch because of a false epoch or sequence are at least kMinEpochInterval
+    /// apart.
     void refute(Millis now, const MemberItem& item) { refute(now, item.state, item.floor); }
-    /// Each refutes a record with this member as its origin, if this member did not write the record.
+    /// Each refutes a received record of this member if the record has a later epoch, a sequence that this
+    /// member has not reached, or the sequence of this member's record with the same key and another value.
+    /// Other false records are not detected.
     void refute(Millis now, const EvidenceItem& item);
     void refute(Millis now, const VersionsItem& item);
 
@@ -38,7 +44,7 @@
     void start_epoch(Millis now, std::uint32_t epoch);
 
     Parts parts_;
-    std::uint32_t sequence_ = 0;  // sequence of the last write
+    std::uint32_t sequence_ = 0;  // sequence of this member's last write in the current epoch
     Millis epoch_started_at_ = kLongAgo;
 };
 
--- a/src/replication/pending_updates.cpp
+++ b/src/replication/pending_updates.cpp
@@ -8,18 +8,21 @@
 namespace {
 
 constexpr std::size_t kMaxUpdates = 4096;
-constexpr std::size_t kMaxItemsPerDatagram = kMaxDatagramBytes / 15;  // upper bound on the items that fit
-// Evidence and the state of a newly started member are sent only this share of the usual number of times:
-// several members report the same, and anti-entropy transfers what is missing.
+constexpr std::size_t kMaxItemsPerDatagram = kMaxDatagramBytes / 15;  // upper bound of the updates that fit
+// Evidence and the state of a newly started member are sent only this share of the usual number of times, but
+// at least kMinReducedTransmits times, because several members report the same and anti-entropy transfers
+// what is missing.
 constexpr double kReducedShare = 0.4;
 constexpr int kMinReducedTransmits = 2;
-constexpr int kMinTransmits = 4;  // a small fleet loses the same share of datagrams as a large one
-constexpr double kMaxLoss = 0.9;
+// Minimum of the usual number of times. The logarithm of the size of a small fleet gives too few, because a
+// small fleet loses the same share of datagrams as a large one.
+constexpr int kMinTransmits = 4;
+constexpr double kMaxLoss = 0.9;  // upper bound of the share of lost pings in the number of times
 
 }  // namespace
 
 void PendingUpdates::add(Millis now, const UpdateKey& key) {
-    // Beyond the limit, anti-entropy transfers the item.
+    // An item beyond the limit is not disseminated: anti-entropy transfers it.
     if (transmits_.size() >= kMaxUpdates && !transmits_.count(key)) return;
     transmits_[key] = 0;
     if (next_round_ == kNever) next_round_ = std::max(now, last_round_ + options_.gossip_period);
@@ -27,8 +30,8 @@
 
 int PendingUpdates::max_transmits() const {
     const double times = options_.transmit_multiplier * std::log10(static_cast<double>(members_.size()) + 1);
-    // The loss of pings covers both directions, ping and ack. The probability of delivery in one direction is
-    // the square root of the probability in both.
+    // A ping counts as lost if the ping or its ack is lost, but an update travels in one direction only. The
+    // probability of delivery in one direction is the square root of the probability in both.
     const double delivered = std::sqrt(1 - std::min(kMaxLoss, ping_loss_.share()));
     return std::max(kMinTransmits, static_cast<int>(std::ceil(times / delivered)));
 }
--- a/src/replication/pending_updates.hpp
+++ b/src/replication/pending_updates.hpp
@@ -1,7 +1,7 @@
-// Dissemination: the updates that this member attaches to outgoing datagrams. Each update is sent a bounded
-// number of times, and updates that have been sent least often come first. The bound grows with the logarithm
-// of the fleet size. Times are Unix milliseconds. Source: SWIM's infection-style dissemination (Das, Gupta,
-// Motivala 2002).
+// Dissemination: the updates that this member attaches to outgoing datagrams. Updates that have been sent
+// least often come first. Each update is sent a bounded number of times; the bound grows with the logarithm
+// of the fleet size and with the share of lost pings. Times are Unix milliseconds. Source: SWIM's
+// infection-style dissemination (Das, Gupta, Motivala 2002).
 #pragma once
 
 #include <map>
@@ -16,14 +16,16 @@
     PendingUpdates(const MemberTable& members, const PingLoss& ping_loss, const Options& options)
         : members_(members), ping_loss_(ping_loss), options_(options) {}
 
-    /// Starts to disseminate the item; an item that is already pending starts over.
+    /// Starts to disseminate the item. If the item is already pending, its count of transmissions restarts at
+    /// 0. If kMaxUpdates other items are pending, the item is not added.
     void add(Millis now, const UpdateKey& key);
     void remove(const UpdateKey& key) { transmits_.erase(key); }
     bool empty() const { return transmits_.empty(); }
-    /// Adds the updates that fit, without evidence and versions of which the receiver is the origin.
+    /// Adds the pending updates that fit the datagram and counts them as sent, except evidence and versions
+    /// whose origin is the receiver.
     void attach(Datagram& datagram, MemberId receiver);
 
-    /// When the next gossip round is due.
+    /// When the next gossip round is due; kNever if none is.
     Millis due() const { return next_round_; }
     void round_finished(Millis now);
     void stop() { next_round_ = kNever; }
--- a/src/replication/ping_loss.hpp
+++ b/src/replication/ping_loss.hpp
@@ -1,6 +1,7 @@
-// Estimates the share of this member's pings that get no ack, as an exponentially weighted average. At a high
-// share a missing ack is weaker evidence of a failure, so probes send more pings; updates are sent more often
-// too. Source: the local health of Lifeguard (Dadgar, Phillips, Currey 2018).
+// Estimates, as an exponentially weighted average, the share of this member's probe pings that get no
+// datagram of the probed member in reply. If the share is high, a missing ack is weaker evidence of a
+// failure, so probes send more pings; each update is also sent more often. Source: the local health of
+// Lifeguard (Dadgar, Phillips, Currey 2018).
 #pragma once
 
 #include <algorithm>
@@ -9,12 +10,13 @@
 
 class PingLoss {
 public:
-    /// Share of pings without an ack, 0 to 1.
+    /// Estimated share of lost pings, 0 to 1.
     double share() const { return share_; }
-    /// Counts a ping as lost; answered() reverses that.
+    /// sent() counts a ping as lost. answered() counts the last ping as not lost instead.
     void sent() { share_ += (1 - share_) * kWeight; }
     void answered() { share_ = std::max(0.0, (share_ - kWeight) / (1 - kWeight)) * (1 - kWeight); }
-    /// Restores an earlier share, for pings to a failed member, which are no measure of network loss.
+    /// Restores the share from before a probe that failed: its pings do not count, because pings to a failed
+    /// member are no measure of network loss.
     void restore(double share) { share_ = share; }
 
 private:
--- a/src/replication/records.cpp
+++ b/src/replication/records.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-// Joins two copies of the same write. The earlier expiry wins, so that a repeat does not extend the lifetime.
+// Joins two copies of the same write. The earlier expiry wins, so that a repeated record does not extend the
+// lifetime.
 template <class Value>
 void join_copies(Record<Value>& record, const Record<Value>& copy) {
     record.expires = std::min(record.expires, copy.expires);
@@ -83,7 +84,8 @@
     return changed;
 }
 
-// Retains the newest kMaxRecordsPerOrigin records. The result does not depend on the order of arrival.
+// Drops the oldest evidence until kMaxRecordsPerOrigin records remain, and raises the floor to the dropped
+// sequences, so the result does not depend on the order of arrival.
 void OriginState::trim() {
     while (evidence_.size() > kMaxRecordsPerOrigin) {
         const auto oldest = std::min_element(
@@ -101,8 +103,8 @@
     return true;
 }
 
-// All evidence has the same lifetime, so evidence written before an expired record has expired too. The floor
-// also covers evidence that has not arrived yet.
+// Raises the floor to the highest expired sequence. All evidence has the same lifetime, so evidence written
+// before an expired record counts as expired too, also evidence that has not arrived yet.
 bool OriginState::expire(Millis now) {
     std::uint32_t expired = floor_;
     for (const auto& [key, record] : evidence_)
--- a/src/replication/replica.cpp
+++ b/src/replication/replica.cpp
@@ -6,14 +6,15 @@
 
 namespace {
 
-constexpr std::uint64_t kSeedMask = 0x666c656574ULL;  // separates these draws from others of the same seed
-// How far an epoch may be ahead of the reader's clock (seconds): clocks differ, and epochs further ahead are
-// treated as forged.
+// Combined with the seed, so that the replica's random numbers differ from those of other users of the seed.
+constexpr std::uint64_t kSeedMask = 0x666c656574ULL;
+// How far an epoch may be ahead of this sidecar's clock (seconds), because clocks differ. Epochs further
+// ahead count as forged.
 constexpr double kMaxEpochAhead = 3600;
-// If advance() is called this many milliseconds later than due(), the process was paused.
+// If advance() is called more than this many milliseconds later than due(), the process was paused.
 constexpr Millis kMinPause = 1000;
-constexpr Millis kExpiryPeriod = 200;
-constexpr int kLeaveRounds = 2;  // gossip rounds that announce the shutdown
+constexpr Millis kExpiryPeriod = 200;  // milliseconds between removals of expired evidence
+constexpr int kLeaveRounds = 2;        // gossip rounds that announce the shutdown, sent at once
 
 }  // namespace
 
@@ -131,12 +132,13 @@
 void Replica::process(Millis now, MemberId from, const Datagram& datagram, std::vector<Outgoing>& out) {
     catch_up_.resume(now);
     failure_detector_.received_from(from);
-    // A member that sends is alive. If other members suspect the sender, they send it that state, and the
-    // sender refutes the state.
+    // The sender is alive with the epoch and incarnation of the header. If the sender is suspect or dead in
+    // the table with the same incarnation, the status does not change: only the sender's refutation, with a
+    // higher incarnation, ends it.
     merge(now, MemberItem{from, {datagram.epoch, datagram.incarnation, Status::alive}, 0});
     merge_items(now, from, datagram);
     reply(now, from, datagram, out);
-    // If this member holds the sender suspect or dead, the sender gets that state and can refute it.
+    // A sender of gossip that is suspect or dead in this member's table gets that state and can refute it.
     if (datagram.kind == Kind::gossip && members_.at(from).member_state().status != Status::alive &&
         anti_entropy_.admit_reply(now))
         sender_.send(from, sender_.make(Kind::gossip), out);
@@ -150,7 +152,8 @@
         bool changed = false;
         if (const auto* member = std::get_if<MemberItem>(&item)) {
             changed = merge(now, *member);
-            // A reply that shows a member to be alive contains nothing new for the other members.
+            // If a reply shows that a member is alive, only this member did not know it, so the state is not
+            // disseminated.
             if (changed && is_reply && member->state.status == Status::alive && member->member != self())
                 updates_.remove(UpdateKey::member(member->member));
         } else if (const auto* evidence = std::get_if<EvidenceItem>(&item)) {
@@ -227,7 +230,7 @@
     const Record<Evidence> record{item.sequence, item.evidence, now + lifetime, from == item.origin};
     const bool changed = origin.join(item.epoch, item.endpoint, record);
     if (origin.member_state().epoch != epoch_before) failure_detector_.member_state_changed(now, item.origin);
-    view_.mark_outdated();  // even if only Record::direct has changed
+    view_.mark_outdated();  // also if only Record::direct has changed
     if (changed && disseminate && view_.reporters(item.endpoint) < kMaxDisseminatedOrigins)
         updates_.add(now, UpdateKey::evidence(item.origin, item.endpoint));
     return changed;
@@ -247,7 +250,8 @@
     if (origin.member_state().epoch != epoch_before) failure_detector_.member_state_changed(now, item.origin);
     if (!changed) return false;
     view_.mark_members_changed();
-    // New versions are disseminated for a few origins; anti-entropy transfers those of further origins.
+    // The same versions are disseminated for at most kMaxDisseminatedOrigins members that act on them;
+    // anti-entropy transfers the records of further members.
     if (disseminate && members_.acting_on(item.versions) <= kMaxDisseminatedOrigins)
         updates_.add(now, UpdateKey::versions(item.origin));
     return true;
--- a/src/replication/replica.hpp
+++ b/src/replication/replica.hpp
@@ -31,36 +31,42 @@
     Replica(const Replica&) = delete;
     Replica& operator=(const Replica&) = delete;
 
-    /// To be called first. Requests the state of a few other members.
+    /// To be called first. Requests from a few other members the state that they hold.
     void start(Millis now, std::vector<Outgoing>& out);
-    /// Runs the timers that have expired; to be called at due() or soon after.
+    /// Runs the timers that have expired. To be called at due() or soon after: a call that is more than
+    /// kMinPause late counts as a pause of this process.
     void advance(Millis now, std::vector<Outgoing>& out);
     Millis due() const;
-    /// Handles a datagram of member `from`, which the caller has identified by its address. A datagram that
-    /// cannot be decoded is counted and dropped.
+    /// Handles a datagram of member `from`, which the caller has identified by the datagram's source address.
+    /// A datagram that cannot be decoded is counted and dropped. A datagram from this member or from no
+    /// member of the fleet is dropped.
     void receive(Millis now, MemberId from, std::span<const std::uint8_t> bytes, std::vector<Outgoing>& out);
-    /// Announces to other members that this member shuts down; sends and receives nothing afterwards.
+    /// Announces to a few other members, which disseminate it, that this member shuts down. The replica sends
+    /// and receives nothing afterwards.
     void leave(Millis now, std::vector<Outgoing>& out);
 
-    /// Publishes a record of this member. Publishing the same evidence again renews its lifetime.
+    /// Publishes a record of this member. A repeated call with the same evidence renews the lifetime of the
+    /// evidence.
     void publish(Millis now, EndpointKey endpoint, Evidence evidence);
     void publish(Millis now, const Versions& versions);
 
-    /// Totals by endpoint over all other members that are not dead, as of the last advance() or receive().
-    /// revision() increases when evidence() or versions() has changed.
+    /// Totals by endpoint over all other members that are not dead, as of the last rebuild in advance() or
+    /// receive(); rebuilds are at least kRebuildPeriod apart. revision() increases in a rebuild if
+    /// evidence(), versions() or the state of another member has changed.
     const std::vector<EndpointTotals>& evidence() const { return view_.totals(); }
     std::uint64_t revision() const { return view_.revision(); }
-    /// The versions that all other members act on, without those of dead members.
+    /// The latest known versions record of each other member that is not dead.
     std::vector<std::pair<MemberId, Record<Versions>>> versions() const { return members_.versions(); }
 
     const OriginState& member(MemberId id) const { return members_.at(id); }
     MemberId self() const { return members_.self(); }
     std::size_t members() const { return members_.size(); }
-    std::size_t alive() const { return members_.alive_count(); }  // known and not dead, including this one
+    std::size_t alive() const { return members_.alive_count(); }  // known and not dead, including this member
     std::size_t records() const { return members_.evidence_count(); }
     /// Whether enough other members have replied to pulls since the start or the last pause of this process.
+    /// True without pulls if the fleet has one member or Options::repair is off.
     bool caught_up() const { return catch_up_.finished(); }
-    /// Equal at replicas that agree on all known members.
+    /// Hash of the states of all known members: equal at replicas that agree.
     std::uint32_t fingerprint() const { return anti_entropy_.fingerprint(); }
     const Counts& counts() const { return counts_; }
 
--- a/src/replication/token_bucket.hpp
+++ b/src/replication/token_bucket.hpp
@@ -1,5 +1,5 @@
 // Token bucket (RFC 2697): limits a rate while admitting a short burst. The caller passes in times in
-// milliseconds; a time before the previous one adds no tokens.
+// milliseconds. A time before the previous one adds no tokens, but the next span is measured from this time.
 #pragma once
 
 #include <algorithm>
@@ -8,9 +8,10 @@
 
 class TokenBucket {
 public:
-    /// `per_second` tokens are added each second, up to `capacity`.
+    /// `per_second` tokens are added each second, up to `capacity`. The bucket is empty until fill().
     TokenBucket(double per_second, double capacity) : per_second_(per_second), capacity_(capacity) {}
 
+    /// Fills the bucket to its capacity.
     void fill(double now_ms) {
         tokens_ = capacity_;
         filled_at_ = now_ms;
--- a/src/replication/version_agreement.cpp
+++ b/src/replication/version_agreement.cpp
@@ -5,8 +5,9 @@
 namespace ochregrade::replication {
 
 namespace {
-// After more than this many requests without success a claim counts as forged and is ignored for
-// kIgnorePeriod (milliseconds), so that it does not hide a true claim of a lower version.
+// After more than this many requests without success, the claimed version counts as forged. This version and
+// newer ones are ignored for kIgnorePeriod (milliseconds), so that a forged claim does not hide a true claim
+// of a lower version.
 constexpr int kMaxFailedRequests = 4;
 constexpr Millis kIgnorePeriod = 60000;
 }  // namespace
@@ -22,7 +23,7 @@
         backoff_ = 0, failed_requests_ = 0;
         return;
     }
-    // A changed claim does not change the schedule, so that a forger cannot control it.
+    // A changed claim does not change the schedule of requests, so that a forger cannot control the schedule.
     const bool was_behind = claimed_.has_value();
     claimed_ = newest;
     if (was_behind) return;
--- a/src/replication/version_agreement.hpp
+++ b/src/replication/version_agreement.hpp
@@ -1,7 +1,7 @@
-// Version agreement: compares the version that this sidecar acts on with those that other members claim to
-// act on, and decides when to request a newer one. The requests of a fleet are spread over time, and requests
-// without success are repeated with growing backoff. Times are Unix milliseconds. No I/O and no clock: the
-// caller sends the requests. Source: docs/CONFIGURATION.md.
+// Version agreement: compares the version that this sidecar acts on with the versions that other members
+// claim to act on, and decides when this sidecar requests a newer version. The requests of a fleet are spread
+// over time, and a request without success is repeated with growing backoff. Times are Unix milliseconds. No
+// I/O and no clock: the caller sends the requests. Source: docs/CONFIGURATION.md.
 #pragma once
 
 #include <optional>
@@ -13,10 +13,10 @@
 
 /// Delays of the requests for a newer version (milliseconds).
 struct RequestPacing {
-    Millis grace = 150;        // time for the version to arrive without a request
-    Millis spread = 250;       // further random delay, which spreads the requests of the fleet
-    Millis first_retry = 300;  // delay after the first request without success; doubles
-    Millis max_retry = 10000;  // upper bound of that delay
+    Millis grace = 150;        // delay of the first request: the version may arrive without a request
+    Millis spread = 250;       // maximum of a further random delay, which spreads the requests of the fleet
+    Millis first_retry = 300;  // backoff after the first request, plus a random 0 to 50 %; doubles each time
+    Millis max_retry = 10000;  // upper bound of the backoff before the random addition
 };
 constexpr RequestPacing kListPacing{};
 constexpr RequestPacing kSettingsPacing{200, 500, 500, 10000};
@@ -27,22 +27,26 @@
     auto operator<=>(const VersionId&) const = default;
 };
 
-/// Follows the versions of one subject: the settings, or the endpoint list.
+/// Follows the versions of either the settings or the endpoint list.
 class VersionFollower {
 public:
     VersionFollower(RequestPacing pacing, std::uint64_t seed) : pacing_(pacing), random_(seed) {}
 
-    /// `own`: the version that this sidecar acts on. `claims`: those that other members claim to act on.
+    /// `own`: the version that this sidecar acts on. `claims`: the versions that other members claim to act
+    /// on.
     void observe(Millis now, const VersionId& own, std::span<const VersionId> claims);
-    /// When to request the claimed version; none if there is no request to make.
+    /// When to request the claimed version; none if no newer version is claimed.
     std::optional<Millis> due() const { return due_; }
-    /// To be called when a request was sent. Schedules a repeat for the case that the request has no success.
+    /// To be called when a request was sent. Schedules the next request, in case that this request has no
+    /// success.
     void requested(Millis now);
 
+    /// Whether another member claims to act on a newer version than this sidecar, and the claim is not
+    /// ignored.
     bool behind() const { return claimed_.has_value(); }
     const std::optional<VersionId>& claimed() const { return claimed_; }
     std::uint64_t calls() const { return calls_; }          // requests sent
-    std::uint64_t unfounded() const { return unfounded_; }  // claims ignored after too many failed requests
+    std::uint64_t unfounded() const { return unfounded_; }  // how often claims became ignored
 
 private:
     RequestPacing pacing_;
@@ -50,9 +54,9 @@
     std::optional<VersionId> claimed_;
     std::optional<Millis> due_;
     Millis backoff_ = 0;
-    int failed_requests_ = 0;                // requests without success, for the current claim
-    std::optional<VersionId> ignored_from_;  // claims of this or a newer version are ignored
-    Millis ignored_until_ = 0;               // until when claims are ignored
+    int failed_requests_ = 0;                // since this sidecar fell behind or a claim became ignored
+    std::optional<VersionId> ignored_from_;  // this claim and newer claims are ignored
+    Millis ignored_until_ = 0;               // until when they are ignored
     std::uint64_t calls_ = 0, unfounded_ = 0;
 };
 
