--- a/src/replication/anti_entropy.cpp
+++ b/src/replication/anti_entropy.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t kMaxReplyDatagrams = 8;       // in the reply to a digest or a summary
 constexpr std::size_t kMaxPullReplyDatagrams = 40;  // in the reply to a pull
-constexpr double kRepliesPerSecond = 100;           // that admit_reply() admits; also the most at once
+constexpr double kRepliesPerSecond = 100;           // datagrams that admit_reply() admits
 
 }  // namespace
 
--- a/src/replication/datagram_sender.cpp
+++ b/src/replication/datagram_sender.cpp
@@ -17,7 +17,7 @@
     const OriginState& receiver = members_.at(to);
     if (receiver.member_state().status != Status::alive)
         datagram.add(MemberItem{to, receiver.member_state(), receiver.highest_sequence()});
-    // Pings and acks contain this member's versions, so that a member that was disconnected from the network
+    // Pings and acks contain this member's versions, so that a member that was cut off by a partition
     // receives the versions with the next probe.
     if (datagram.kind == Kind::ping || datagram.kind == Kind::ack)
         if (const auto versions = members_.item(UpdateKey::versions(members_.self())))
--- a/src/replication/records.hpp
+++ b/src/replication/records.hpp
@@ -6,8 +6,7 @@
 // 2011): joining copies in any order and any number of times gives the same result. The parts of the state,
 // in order of precedence:
 //   epoch        identifies one process of the origin, or a refutation by that process; a later epoch
-//   replaces
-//                all state of an earlier one.
+//                replaces all state of an earlier one.
 //   incarnation, status  as in SWIM (Das, Gupta, Motivala 2002): the higher incarnation wins; at equal
 //                incarnations the worse status wins. Only the origin can therefore refute a suspicion, with a
 //                higher incarnation.
@@ -15,8 +14,7 @@
 //                with the same sequence in one epoch, so if copies differ at the same sequence, at least one
 //                is forged. The greater value wins until the origin refutes the record with a later epoch.
 //   floor        evidence with a sequence up to the floor has expired or was dropped, and is not accepted
-//   again,
-//                so that replayed evidence does not count as new.
+//                again, so that replayed evidence does not count as new.
 #pragma once
 
 #include <compare>
@@ -91,8 +89,8 @@
     std::uint32_t highest_sequence() const;  // of all records, at least the floor
 
     /// Joins a state, a record or another copy into this copy. Each returns whether it has changed this copy;
-    /// a changed expiry or `direct` does not count. A record that is not accepted returns false, even if its
-    /// later epoch was accepted or the floor has risen.
+    /// a changed expiry or `direct` does not count. The join of a record that is not accepted returns false,
+    /// even if the later epoch of the record was accepted or the floor has risen.
     bool join(const MemberState& state);
     bool join(std::uint32_t epoch, EndpointKey key, const Record<Evidence>& record);
     bool join(std::uint32_t epoch, const Record<Versions>& record);
--- a/src/replication/version_agreement.hpp
+++ b/src/replication/version_agreement.hpp
@@ -54,7 +54,7 @@
     std::optional<VersionId> claimed_;
     std::optional<Millis> due_;
     Millis backoff_ = 0;
-    int failed_requests_ = 0;                // since this sidecar fell behind or a claim became ignored
+    int failed_requests_ = 0;  // requests since this sidecar fell behind or a claim became ignored
     std::optional<VersionId> ignored_from_;  // this claim and newer claims are ignored
     Millis ignored_until_ = 0;               // until when they are ignored
     std::uint64_t calls_ = 0, unfounded_ = 0;
--- a/tests/fleet/gossip_transport_test.cpp
+++ b/tests/fleet/gossip_transport_test.cpp
@@ -1,5 +1,5 @@
-// The gossip transport accepts and sends only datagrams of at most 256 bytes, and accepts them only from the
-// addresses of peers.
+// The gossip transport sends and accepts only datagrams of at most 256 bytes, and accepts datagrams only from
+// the addresses of peers.
 #include "fleet/gossip_transport.hpp"
 
 #include "support/stepped_sidecar.hpp"
--- a/tests/replication/codec_test.cpp
+++ b/tests/replication/codec_test.cpp
@@ -1,4 +1,5 @@
-// Property of the codec: any datagram fits 256 bytes and decodes to itself, and a damaged one is rejected.
+// Property of the codec: any datagram assembled with add() encodes to at most 256 bytes and decodes to
+// itself, and a damaged datagram is rejected.
 #include "replication/codec.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/replication/decode_fuzz.cpp
+++ b/tests/replication/decode_fuzz.cpp
@@ -1,6 +1,7 @@
 // Fuzz target for received datagrams: decodes a datagram, encodes it again, and passes it to a replica.
 // -DOCHREGRADE_FUZZ=ON (clang) builds the target with libFuzzer. Without libFuzzer, main() below runs the
-// target on the corpus and on a fixed number of mutations of it, which are the same in every run.
+// target on the corpus and on a given number of mutations of the corpus. The mutations are the same in each
+// execution.
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -19,7 +20,8 @@
     if (const auto* d = std::get_if<Datagram>(&decoded))
         if (const Bytes encoded = encode(*d); !std::equal(encoded.begin(), encoded.end(), data, data + size))
             std::abort();
-    // Most mutations fail the checksum; with a corrected checksum they reach the replica.
+    // The checksum of most mutations is wrong, so the replica does not decode them. With a corrected checksum
+    // and format byte, it decodes more of them.
     constexpr Millis kNow = 1.7e12;
     Replica replica(1, 40, 1'700'000'000, 5);
     std::vector<Outgoing> out;
--- a/tests/replication/fleet_convergence_test.cpp
+++ b/tests/replication/fleet_convergence_test.cpp
@@ -1,5 +1,6 @@
-// Fleets of replicas on a simulated network: convergence after seeded random schedules of faults, and
-// detection, dissemination and catch-up under loss, restarts, pauses and partitions.
+// Fleets of replicas on a simulated network: convergence after random schedules of faults, each drawn from a
+// seed, and failure detection, dissemination and catch-up under loss, restarts, pauses and partitions. Times
+// are in milliseconds.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,7 +15,7 @@
 using ochregrade::lab::Network;
 using ochregrade::lab::SimFleet;
 
-// Whether every running member holds exactly the running members alive.
+// Whether, in the table of every running member, exactly the running members are known and not dead.
 bool all_hold_running_members_alive(const SimFleet& f) {
     for (std::size_t i = 0; i < f.size(); ++i)
         for (std::size_t j = 0; j < f.size(); ++j) {
@@ -31,8 +32,9 @@
     RandomSchedule(std::uint64_t seed, const Options& options)
         : random_(seed), network_(draw_network()), fleet_(3 + below(8), seed, network_, options) {}
 
-    // Applies faults for some seconds and ends them. Returns whether all running members then agree on all
-    // records and on the running members within `timeout` (milliseconds).
+    // Applies faults for some seconds and ends them. Returns whether, within `timeout` (milliseconds) after
+    // the end of the faults, all running members have the same state and know exactly the running members as
+    // not dead.
     bool converges_within(SimFleet::Millis timeout) {
         fleet_.start_all();
         paused_.resize(fleet_.size());
@@ -83,7 +85,8 @@
 
     void restart(std::size_t i) {
         if (fleet_.up(i) || paused_[i]) return;
-        fleet_.set_clock_offset(i, below(3) == 0 ? -5000.0 : 0);  // the clock was stepped back
+        // In one of three restarts the clock of the new process is 5 s behind.
+        fleet_.set_clock_offset(i, below(3) == 0 ? -5000.0 : 0);
         fleet_.start(i);
     }
 
@@ -122,7 +125,8 @@
     }
 }
 
-// Shows that the check of the test above detects missing anti-entropy and catch-up.
+// Shows that the check of the test above can fail: without anti-entropy and catch-up, more than 10 of 100
+// fleets do not converge.
 TEST(Convergence, FailsWithoutRepair) {
     Options broken;
     broken.repair = false;
--- a/tests/replication/recorded_datagrams_test.cpp
+++ b/tests/replication/recorded_datagrams_test.cpp
@@ -1,7 +1,8 @@
-// Compatibility with the datagrams recorded in tests/recorded/datagrams. A datagram of each kind and with
-// each item is decoded field by field and encoded to the same bytes. The same events cause the balancer to
-// send the same short gossip datagrams. A fleet of replicas on a scripted clock sends the same bytes as when
-// the hash was recorded.
+// Compatibility with the datagrams recorded in tests/recorded/datagrams:
+//   - a recorded datagram of each kind and with each item is decoded to the same fields and encoded to the
+//     same bytes,
+//   - after the same events, the balancer sends the same short gossip datagrams as recorded,
+//   - a fleet of replicas on a scripted clock sends the same datagrams as when their hash was recorded.
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
@@ -89,8 +90,8 @@
 
 // ---- Short gossip datagrams of the balancer --------------------------------------------------------------
 
-// The gossip datagrams, one a line, of a sidecar with low traffic in a fleet of 160 whose requests all end
-// with `outcome`.
+// The gossip datagrams, one per line, of a sidecar in a fleet of 160. The sidecar has low traffic, and all
+// its requests end with `outcome`.
 std::string gossip_lines(Outcome outcome) {
     Settings settings = test::make_settings({test::make_class(Idempotency::not_idempotent)});
     settings.gossip_allowed = true;
@@ -145,8 +146,8 @@
 
 // ---- A fleet on a scripted clock -------------------------------------------------------------------------
 
-// Replicas on a scripted clock. Each datagram arrives after kDelay, in the order of sending. The member
-// `silent` runs no timers, and datagrams to and from that member are lost.
+// Replicas on a scripted clock. The datagrams arrive kDelay after they were sent, in the order of sending.
+// The member `silent` runs no timers, and datagrams to and from this member are lost.
 class ScriptedFleet {
 public:
     explicit ScriptedFleet(std::size_t members) {
@@ -213,10 +214,11 @@
     int elapsed_ = 0;
     Millis now_ = kEpoch * 1000.0;
     std::uint64_t datagrams_ = 0, bytes_ = 0;
-    Bytes sent_;  // for each datagram: time, sender, receiver, size, bytes
+    Bytes sent_;  // of each datagram: time, sender, receiver, size, bytes
 };
 
-// A summary of the replica's state. It shows whether a changed hash comes with a changed state.
+// The replica's state in one line. If the recorded hash of the datagrams changes, these lines show whether
+// the states of the replicas have changed too.
 std::string state_line(const Replica& replica) {
     char text[160];
     std::snprintf(text, sizeof text,
--- a/tests/replication/records_test.cpp
+++ b/tests/replication/records_test.cpp
@@ -1,5 +1,5 @@
-// Properties of the merge of replicated records: the state is a join-semilattice, also with repeated and
-// expired records.
+// Properties of the merge of replicated records: the states of an origin are a join-semilattice, also with
+// repeated and expired records.
 #include "replication/records.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 #include <algorithm>
 
 namespace ochregrade::replication {
-// Equality of all fields, including those that the fingerprint does not cover.
+// Equality of all fields, including the fields that the fingerprint does not cover.
 template <class Value>
 bool operator==(const Record<Value>& a, const Record<Value>& b) {
     return a.sequence == b.sequence && a.value == b.value && a.expires == b.expires && a.direct == b.direct;
@@ -24,8 +24,9 @@
 
 using namespace ochregrade::replication;
 
-// One write that may reach a replica. Epochs, keys and sequences have few values, so that writes often
-// collide. Two writes may have the same sequence and different values, as if one of them was forged.
+// One write that may reach a replica. Epochs, keys and sequences have few values, so that many writes have
+// the same epoch, key or sequence. Two writes may have the same sequence and different values, as if one of
+// them were forged.
 struct Write {
     std::uint32_t epoch, sequence;
     int subject;  // 0: member state, 1: versions, 2: evidence
@@ -70,7 +71,7 @@
 }
 
 RC_GTEST_PROP(RecordMerge, IsCommutativeAssociativeAndIdempotent, ()) {
-    const auto keys = *rc::gen::element<std::uint32_t>(4, 60);  // within and beyond kMaxRecordsPerOrigin
+    const auto keys = *rc::gen::element<std::uint32_t>(4, 60);  // below and above kMaxRecordsPerOrigin
     const auto some = rc::gen::container<std::vector<Write>>(write(keys));
     const OriginState a = state_of(*some), b = state_of(*some), c = state_of(*some);
     const auto joined = [](OriginState x, const OriginState& y) { return x.join(y), x; };
@@ -90,7 +91,8 @@
     for (std::size_t i = writes.size(); i > 1; --i)
         std::swap(writes[i - 1], writes[*rc::gen::inRange<std::size_t>(0, i)]);
     RC_ASSERT(state_of(writes) == once);
-    // Replayed records that have expired stay expired.
+    // All evidence expires and is then replayed. Replayed evidence with a sequence up to the floor from
+    // before the expiry is not accepted, and the highest sequence does not change.
     OriginState late = once;
     late.expire(1e9);
     RC_ASSERT(late.evidence().empty());
--- a/tests/replication/replica_test.cpp
+++ b/tests/replication/replica_test.cpp
@@ -1,4 +1,4 @@
-// One replica that receives damaged, forged or too many datagrams from other members.
+// One replica (member 0 of 10) that receives damaged, forged or too many datagrams from other members.
 #include "replication/replica.hpp"
 
 #include <gtest/gtest.h>
@@ -27,7 +27,7 @@
         for (const Millis end = now + duration; now < end;) {
             now = std::min(end, std::max(now + 1, replica.due()));
             replica.advance(now, out);
-            // All other members reply to the replica's pings.
+            // The receiver of each ping of the replica replies with an ack.
             for (std::size_t i = answered; i < out.size(); ++i) {
                 const Datagram d = std::get<Datagram>(decode(out[i].bytes));
                 if (d.kind == Kind::ping)
@@ -81,7 +81,7 @@
     EXPECT_EQ(single.replica.counts().implausible_epochs, 2u);
 }
 
-// A forger may send records of all origins, but only those with the forger itself as origin count as direct.
+// A forger may send records of all origins, but only records whose origin is the forger count as direct.
 TEST(UntrustedPeers, AForgerCountsAsOneDirectReporter) {
     SingleReplica single;
     std::vector<Item> forged;
@@ -92,7 +92,8 @@
     EXPECT_EQ(single.totals_of(5)->reporters, 9u);
     EXPECT_EQ(single.totals_of(5)->direct_reporters, 1u);
     EXPECT_EQ(single.totals_of(5)->failures, 5u);
-    // The replica requests the records from the named origins. A record from its origin counts as direct.
+    // The replica requests the records from some of the origins. A record that its origin sends counts as
+    // direct.
     std::set<MemberId> requested;
     for (const Outgoing& o : single.out) {
         const Datagram d = std::get<Datagram>(decode(o.bytes));
@@ -141,7 +142,9 @@
     EXPECT_EQ(single.replica.member(0).member_state().epoch, kEpoch + 1);
     EXPECT_EQ(single.replica.member(0).evidence().count(5), 0u);
     EXPECT_EQ(single.replica.member(0).evidence().at(8).value.successes, 3);
-    // The rate of new epochs is limited, however many forged epochs arrive.
+    // 50 datagrams with the same forged epoch raise this member's epoch at most to one above the forged
+    // epoch. The check does not show the rate limit on new epochs: without the limit, only the first of the
+    // 50 would cause a new epoch, and that epoch is within the bound.
     for (int i = 0; i < 50; ++i) single.receive(1, {MemberItem{0, {kEpoch + 5, 0, Status::dead}, 0}});
     EXPECT_LE(single.replica.member(0).member_state().epoch, kEpoch + 6);
 }
@@ -153,7 +156,7 @@
             single.receive(m, {failure_report(m, k, k + 1)});
     single.out.clear(), single.answered = 0;
     for (int i = 0; i < 500; ++i) single.receive(3, {}, Kind::pull);
-    EXPECT_LT(single.out.size(), 700u);  // an empty digest differs in no range, so the replies are small
+    EXPECT_LT(single.out.size(), 700u);  // no range differs, so a reply is one datagram without items
     Datagram pull;
     pull.kind = Kind::pull, pull.epoch = kEpoch;
     for (std::uint8_t r = 0; r < kDigestRanges; ++r) pull.add(RangeItem{r, 1});
--- a/tests/replication/version_agreement_test.cpp
+++ b/tests/replication/version_agreement_test.cpp
@@ -1,6 +1,6 @@
-// Version agreement: when a follower requests a newer version, and, over seeded random histories on a
-// simulated network, how long members act on contradicting versions. Without the requests the same check must
-// fail.
+// Version agreement: when a follower requests a newer version, and how long members act on contradicting
+// versions in random histories, each drawn from a seed, on a simulated network. Without the requests of the
+// followers, most histories must exceed the same bound. Times are in milliseconds.
 #include "replication/version_agreement.hpp"
 
 #include <gtest/gtest.h>
@@ -63,11 +63,12 @@
     EXPECT_LE(*follower.due(), now + kSettingsPacing.grace + kSettingsPacing.spread);
 }
 
-// A fleet whose members each have a source (discovery, or the settings file) with the newest version. The
-// source notifies most members of a change; the others depend on the replicated versions and their follower.
+// A fleet whose members can all fetch the newest version from a source (discovery). The source notifies at
+// least half of the members of a change. The other members depend on the replicated versions and on their
+// followers.
 class VersionHistory {
 public:
-    // `sends_requests`: whether a member requests the newest version when its follower is due.
+    // `sends_requests`: whether a member fetches the newest version when a request of its follower is due.
     VersionHistory(std::uint64_t seed, bool sends_requests)
         : random_(seed),
           sends_requests_(sends_requests),
@@ -85,7 +86,9 @@
         fleet_.run_for(3000);
     }
 
-    // The longest time (ms) for which a connected member acted on an older version than another member.
+    // The longest time (ms) for which a member acted on a version older than a version on which some member
+    // had acted. For a member that was cut off, the time starts at the planned end of the cut at the
+    // earliest.
     double longest_contradiction() {
         const double end = fleet_.now() + 12000;
         double next_change = fleet_.now() + 500;
@@ -115,7 +118,8 @@
     }
 
     void change_version() {
-        // Discovery may restart its sequence: the sequence number falls and the incarnation rises by one.
+        // In one of four changes discovery restarts: the incarnation rises by one and the sequence number
+        // starts at 1 again.
         newest_ =
             below(4) == 0 ? VersionId{newest_.major + 1, 1} : VersionId{newest_.major, newest_.minor + 1};
         const std::size_t not_notified = 1 + below(members_ / 2);
@@ -172,8 +176,8 @@
 };
 
 TEST(VersionAgreement, NoTwoMembersActOnContradictingListsForLong) {
-    // Up to 30 % of the datagrams are lost, and at times one member is cut off for a second. The bound
-    // applies to that member from its reconnection on.
+    // Up to 30 % of the datagrams are lost, and at times one member is cut off for at most one second. The
+    // bound of 2000 ms applies to that member from the planned end of the cut on.
     for (std::uint64_t seed = 1; seed <= 1000; ++seed) {
         const double longest = VersionHistory(seed, true).longest_contradiction();
         ASSERT_LE(longest, 2000) << "seed " << seed;
