--- a/src/common/clock.hpp
+++ b/src/common/clock.hpp
@@ -1,6 +1,7 @@
-// The sidecar's only clock. It returns Unix time in milliseconds, so that its times are comparable with the
-// start times in discovery's records. The steady clock drives it, so that a step of the system clock neither
-// makes time go backwards nor lets deadlines expire early.
+// The clock of the sidecar's deadlines and of its balancer. It returns Unix time in milliseconds, so that its
+// times are comparable with the start times in discovery's endpoint list. It is set from the system clock
+// once, at the start, and then advances with the steady clock. A step of the system clock therefore neither
+// makes this clock go backwards nor lets deadlines expire early.
 #pragma once
 
 #include <chrono>
@@ -15,7 +16,7 @@
 
     /// Unix time in milliseconds; never goes backwards.
     Millis now() const { return unix_start_ + Duration(Steady::now() - start_).count(); }
-    /// Converts a time of this clock to a time point of the steady clock, rounded up.
+    /// Converts a time of this clock to a time point of the steady clock, rounded up to its resolution.
     Steady::time_point point(Millis at) const {
         return start_ + std::chrono::ceil<Steady::duration>(Duration(at - unix_start_));
     }
--- a/src/common/endpoint_id.hpp
+++ b/src/common/endpoint_id.hpp
@@ -8,9 +8,9 @@
 
 namespace ochregrade {
 
-/// Returns the 32-bit FNV-1a hash of `name`, or the next free id after it. `is_taken(id)` returns whether
-/// another endpoint has the id. Sidecars that resolve a collision differently disagree about which of the two
-/// endpoints an id denotes.
+/// Returns the 32-bit FNV-1a hash of `name`, or the next free id if another endpoint already has that id.
+/// `is_taken(id)` returns whether another endpoint has the id. After a collision the ids depend on the order
+/// in which a sidecar adds the endpoints, so two sidecars may disagree about which of them an id denotes.
 template <class IsTaken>
 EndpointId endpoint_id(std::string_view name, IsTaken is_taken) {
     constexpr EndpointId kOffsetBasis = 2166136261u;
--- a/src/common/http.hpp
+++ b/src/common/http.hpp
@@ -26,7 +26,8 @@
 constexpr std::uint32_t kMaxHeader = 16 * 1024;
 constexpr std::uint64_t kMaxBody = 64 * 1024;
 
-/// Removes the hop-by-hop fields (RFC 9110, 7.6.1): the standard fields and the fields that Connection names.
+/// Removes the hop-by-hop fields (RFC 9110, 7.6.1), which are the standard ones and those that Connection
+/// names, and also Expect and Content-Length.
 template <class Fields>
 void strip_hop_by_hop(Fields& fields) {
     std::vector<std::string> names;
@@ -41,9 +42,12 @@
 }
 
 /// Passes the buffered bytes to a parser that is not eager. Returns need_more when the parser has consumed
-/// all bytes that it can use. `head_bytes` counts the bytes of the message's head so far. This function
-/// enforces the limit on heads itself: the parser consumes complete lines and compares its limit only with
-/// the bytes that remain, so that a head that arrives line by line could grow without bound.
+/// all bytes that it can use. `head_bytes` counts the bytes of the message's head that the parser has
+/// consumed so far. Returns header_limit if the head is longer than kMaxHeader, or if the parser needs more
+/// although the unconsumed bytes (together with `head_bytes`, while the head is being parsed) reach
+/// kMaxHeader. This function enforces the limit on heads itself, because the parser consumes complete lines
+/// and compares its limit only with the bytes that remain: a head that arrives line by line could otherwise
+/// grow without bound.
 template <class Parser>
 error_code parse_buffered(Parser& parser, beast::flat_buffer& in, std::size_t& head_bytes) {
     error_code ec = http::error::need_more;
@@ -58,7 +62,8 @@
     return ec;
 }
 
-/// What the kernel has for the reader of a socket: no bytes, unread bytes, or the end of the connection.
+/// What the kernel has for the reader of a socket: no bytes, unread bytes, or the end of the connection
+/// (which includes errors). A lack of kernel memory counts as no bytes.
 enum class SocketState { no_data, readable, closed };
 /// Returns the socket's state without consuming bytes and without blocking.
 inline SocketState peek(tcp::socket& socket) {
--- a/src/common/log.cpp
+++ b/src/common/log.cpp
@@ -26,7 +26,7 @@
 }
 
 // Whether a line can be written now without blocking on the log's reader. poll() reports a pipe as writable
-// when PIPE_BUF bytes fit into it, and no line is longer than that. If poll() fails, the line is written.
+// when PIPE_BUF bytes fit into it, and no line is longer than that. Also true if poll() fails.
 bool is_writable() {
     pollfd output{STDERR_FILENO, POLLOUT, 0};
     return ::poll(&output, 1, 0) != 0;
@@ -51,8 +51,9 @@
     Clock::time_point last_refill_ = Clock::now();
 };
 
-// Encodes `text` as a JSON string, so that quotes and backslashes from peers or files cannot break the line's
-// structure. Bytes that are not UTF-8 are replaced.
+// Encodes the first kMaxTextBytes bytes of `text` as a JSON string, so that quotes and backslashes from peers
+// or files cannot break the line's structure. Control characters become '?'; bytes that are not UTF-8 are
+// replaced.
 std::string to_json_string(const std::string& text) {
     std::string line = text.substr(0, kMaxTextBytes);
     std::replace_if(
--- a/src/common/random.hpp
+++ b/src/common/random.hpp
@@ -1,6 +1,6 @@
 // The random number generator SplitMix64 (Steele, Lea, Flood: Fast Splittable Pseudorandom Number Generators,
 // OOPSLA 2014). It returns the same numbers with every standard library, so that a seed and a sequence of
-// events determine all actions.
+// events determine all actions of a balancer.
 #pragma once
 
 #include <cstddef>
--- a/src/common/socket_io.hpp
+++ b/src/common/socket_io.hpp
@@ -14,8 +14,8 @@
 
 namespace ochregrade::sidecar {
 
-/// The result of one transfer. Fewer bytes than requested without an error mean that the kernel can transfer
-/// no more bytes now.
+/// The result of write_available() or read_available(). Without an error, fewer bytes than requested mean for
+/// a write that the kernel accepts no more now; for a read only 0 bytes mean that there are no more now.
 struct Transfer {
     std::size_t bytes = 0;
     error_code error{};
@@ -59,8 +59,9 @@
     }
 }
 
-/// Writes all of `bytes` and then calls done(error) from the event loop. The memory of `bytes` must stay
-/// valid until then. Each wait queries the kernel's state again, so that no edge-triggered event is missed.
+/// Writes all of `bytes` and then calls done(error) from the event loop. The socket and the memory of `bytes`
+/// must stay valid until then. Each wait queries the kernel's state again, so that no edge-triggered event is
+/// missed.
 template <class Done>
 void async_write_all(tcp::socket& socket, asio::const_buffer bytes, Done done) {
     const Transfer transfer = write_available(socket, bytes);
--- a/src/common/trace.cpp
+++ b/src/common/trace.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr std::size_t kMaxTraceBytes =
-    64 << 20;  // limits the memory used if the file is on a memory file system
+    64 << 20;  // 64 MiB; limits the memory used if the file is on a memory file system
 
 template <class Clock>
 double milliseconds() {
--- a/src/common/trace.hpp
+++ b/src/common/trace.hpp
@@ -1,6 +1,6 @@
 // A trace of each state change of requests and connections, from which the course of a request can be
 // reconstructed afterwards (docs/OBSERVABILITY.md). Each line is one JSON object. The trace is written only
-// if OCHREGRADE_TRACE names a file, and stops when the file has reached 64 MiB.
+// if OCHREGRADE_TRACE names a file. It is appended to that file, and stops when this run has written 64 MiB.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -10,7 +10,7 @@
 
 namespace ochregrade::sidecar {
 
-/// Whether events are recorded. Callers check this before they build the fields of an event.
+/// Whether events are recorded. Callers must check this before they call trace_event().
 bool tracing();
 
 /// Appends {"t":<Unix ms>,"mono":<monotonic ms>,"event":"...", fields...}.
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -11,18 +11,19 @@
 
 namespace {
 
-// A long poll may stall without an error, which shows only after its wait has expired. The sidecar must still
-// be notified of a missed change within 6 s, so the wait, kTimeoutBeyondWait, the pause after a failed call
-// and the next call must together take less than that. Each call waits a random time between half of this
-// value and all of it, because the first calls of many sidecars start at the same time.
+// Longest wait of a long poll. A long poll may stall without an error, and the client notices this only when
+// the wait and kTimeoutBeyondWait have expired. The sidecar must still be notified of a missed change within
+// 6 s, so the wait, kTimeoutBeyondWait, the pause after a failed call and the next call must together take
+// less than 6 s. Each call waits a random time between half of kMaxWaitMs and all of it, so that many
+// sidecars whose first calls start at the same time do not make all later calls at the same time.
 constexpr double kMaxWaitMs = 2000;
 // The client waits for a response until 2 s after the end of a long poll's wait, and 6 s in other calls. With
 // shorter timeouts, discovery would spend its time on queued calls whose client has already disconnected.
 constexpr std::chrono::milliseconds kTimeoutBeyondWait{2000};
 constexpr std::chrono::milliseconds kCallTimeout{6000};
 constexpr std::chrono::milliseconds kConnectTimeout{2000};
-// Discovery has restarted its sequence if its lists have lower sequence numbers for this long; a single lower
-// number may belong to a late response.
+// The client concludes that discovery has restarted its sequence if discovery's complete lists have had lower
+// sequence numbers than the current list for this long. A single lower number may belong to a late response.
 constexpr std::chrono::milliseconds kRestartConfirmation{1000};
 constexpr std::uint64_t kMaxBodyBytes = 16 * 1024 * 1024;
 constexpr int kOk = 200;
@@ -85,7 +86,8 @@
     start_next_call();
 }
 
-// The handlers of the cancelled call still run; still_current() returns false there.
+// The completion handlers of the cancelled call still run, but do nothing because still_current() returns
+// false.
 void DiscoveryClient::cancel_call() {
     const CallPtr call = std::move(call_);
     call_.reset();
@@ -188,9 +190,11 @@
     return claimed_incarnation_ > incarnation_ && list.seq >= claimed_seq_;
 }
 
-// Whether a list with a lower sequence number shows that discovery has restarted its sequence. A late
-// response has a lower number only once. A restart is confirmed if every list has a lower number for
-// kRestartConfirmation, or if other sidecars have seen the restart.
+// Returns whether `list`, whose sequence number is lower than that of the current list, shows that discovery
+// has restarted its sequence; if so, increments incarnation_. Only complete lists count. A single lower
+// number may belong to a late response. A restart is therefore confirmed only if all lists of a period of
+// kRestartConfirmation have lower numbers than the current list and the numbers do not fall during the
+// period, or if other sidecars use a newer incarnation (claimed_by_others()).
 bool DiscoveryClient::sequence_restarted(const EndpointList& list) {
     if (!list.complete) return false;
     const auto now = std::chrono::steady_clock::now();
@@ -205,7 +209,8 @@
     return true;
 }
 
-// Requests the complete list next, because the current list has the same source and may be wrong too.
+// Treats the call as failed. The next call requests the complete list, because the current list has the same
+// source as the invalid response and may be wrong too.
 void DiscoveryClient::response_invalid(const CallPtr& call, const std::string& reason) {
     complete_list_needed_ = true;
     handle_call_failure(call, reason);
@@ -221,8 +226,9 @@
     return true;
 }
 
-// A call without a response leaves the current list as it is. The next call therefore requests only the
-// changes since that list: it misses no change and costs discovery less than the complete list.
+// A failed call leaves the current list as it is. Unless the complete list is needed for another reason, the
+// next call requests only the changes since the current list: it misses no change and costs discovery less
+// than the complete list.
 void DiscoveryClient::handle_call_failure(const CallPtr& call, const std::string& reason) {
     if (!discard_call(call, reason)) return;
     if (!polled_) return retry_soon();
@@ -231,8 +237,9 @@
     handlers_.on_failed();
 }
 
-// A timeout has already taken longer than any pause. If the owner of a polled client added its pause to the
-// timeout, the next call might not be notified of a change in time.
+// Retries soon even if lists are polled, without calling on_failed. The timeout has already taken longer than
+// any pause. If the balancer, which on_failed notifies, added its own pause to the timeout, the sidecar might
+// not be notified of a change in time (kMaxWaitMs).
 void DiscoveryClient::call_timed_out(const CallPtr& call, const std::string& reason) {
     if (discard_call(call, reason)) retry_soon();
 }
--- a/src/discovery/discovery_client.hpp
+++ b/src/discovery/discovery_client.hpp
@@ -1,6 +1,7 @@
-// The client of discovery (docs/DISCOVERY.md). It requests changes of the endpoint list by long polls, or
-// makes single calls if lists are polled. Responses that are invalid or older than the current list are
-// ignored.
+// The client of discovery (docs/DISCOVERY.md). It requests changes of the endpoint list by a series of long
+// polls (watch()) and fetches a single complete list on request (fetch()). Responses that are invalid or
+// older than the current list are ignored, except that an older list is accepted after discovery has
+// restarted its sequence.
 #pragma once
 
 #include <boost/beast/core/tcp_stream.hpp>
@@ -18,10 +19,12 @@
 class DiscoveryClient {
 public:
     struct Handlers {
+        /// Called with each accepted list or set of changes. An empty set of changes is passed on only if
+        /// lists are polled.
         std::function<void(const EndpointList&)> on_endpoints;
-        /// Called after a failed call, but only if lists are polled. The client is then inactive until
-        /// watch() or fetch() is called. The client itself retries a call that timed out, without calling
-        /// this.
+        /// Called after a failed call, but only if lists are polled. The client then makes no call until
+        /// watch(), fetch(), poll_now() or set_address() starts one. After a timeout, on_failed is not
+        /// called, and the client itself retries.
         std::function<void()> on_failed;
     };
     /// known_seq: sequence number of the list that the sidecar starts with, if it has one. polled: see
@@ -31,14 +34,16 @@
                     std::optional<std::uint64_t> known_seq, bool polled, std::uint64_t seed,
                     Handlers handlers);
 
-    /// Starts or stops the series of calls for changes. A call in flight is not cancelled.
+    /// Starts or stops the series of long polls. A call in flight is not cancelled.
     void watch(bool active);
-    /// Fetches the complete list once.
+    /// Fetches the complete list once, after the call in flight if there is one.
     void fetch();
-    /// Sequence number of the current list.
+    /// Sequence number of the current list; 0 if there is none, and after a change of discovery's address
+    /// until the first list arrives.
     std::uint64_t seq() const { return seq_; }
-    /// Incarnation of discovery's sequence: starts at 1 and grows by 1 whenever discovery restarts its
-    /// sequence. Incarnation and sequence number together identify a list.
+    /// Incarnation of discovery's sequence: starts at 1 and grows by 1 whenever this client finds that
+    /// discovery has restarted its sequence. If other sidecars use a higher incarnation (poll_now()), the
+    /// client adopts it. Incarnation and sequence number together identify a list of one discovery address.
     std::uint32_t incarnation() const { return incarnation_; }
     /// Cancels a call in flight and fetches the complete list at once, because other sidecars have a newer
     /// list with this incarnation and sequence number.
@@ -77,11 +82,11 @@
     asio::steady_timer retry_timer_;
     std::uint64_t seq_ = 0;
     std::uint32_t incarnation_ = 1;
-    // Incarnation and sequence number of the newest list that other sidecars use.
+    // Incarnation and sequence number of the newer list that other sidecars use; set by poll_now().
     std::uint32_t claimed_incarnation_ = 0;
     std::uint64_t claimed_seq_ = 0;
-    // When the first of the complete lists with lower numbers than the current list arrived, and the number
-    // of the latest such list.
+    // A series of complete lists with lower sequence numbers than the current list: the arrival of its first
+    // list and the number of its latest list. A number lower than the one before starts a new series.
     std::optional<std::chrono::steady_clock::time_point> lower_since_;
     std::uint64_t lower_seq_ = 0;
     bool polled_;
--- a/src/discovery/start_times.hpp
+++ b/src/discovery/start_times.hpp
@@ -1,5 +1,6 @@
-// Converts the start times of endpoints to this process's clock. Discovery sends them as Unix times of a wall
-// clock that may have been stepped since this process read it, or between the starts of two endpoints.
+// Converts the start times of endpoints to this process's clock. Discovery sends the start times as Unix
+// times of a wall clock that may have been stepped since this process started, or between the starts of two
+// endpoints. The steps are taken from the wall clock of this machine.
 #pragma once
 
 #include <algorithm>
@@ -21,10 +22,11 @@
         errors_.push_back(wall_error);
     }
 
-    /// Converts a start time. It is unknown which of the wall clock's recorded errors a start time contains,
-    /// so the function returns the latest result that is not in the future: a warm endpoint that is treated
-    /// as cold only loses some load, but a cold endpoint that is treated as warm is overloaded. 0 means long
-    /// ago and stays 0.
+    /// Converts a start time; `now` and the result are times of this process's clock. It is unknown which of
+    /// the recorded errors the wall clock had at the start, so the function tries each error and returns the
+    /// latest result that is not in the future, or `now` if there is none. The latest result is the safe one:
+    /// a warm endpoint that is treated as cold only loses some load, but a cold endpoint that is treated as
+    /// warm is overloaded. 0 means long ago and stays 0.
     Millis to_process_clock(Millis started_at, Millis now) const {
         if (started_at <= 0) return 0;
         Millis latest = -1;
@@ -39,7 +41,9 @@
     static constexpr Millis kMinStep = 100;  // smaller differences are drift or the time between two readings
     static constexpr std::size_t kMaxErrors = 8;
 
-    std::vector<Millis> errors_ = {0};  // the first element is the error at the start of the process
+    // The recorded errors of the wall clock in ms. The first one, at the start of the process, is always
+    // retained. If kMaxErrors are recorded, a new error replaces the oldest of the others.
+    std::vector<Millis> errors_ = {0};
 };
 
 }  // namespace ochregrade::sidecar
--- a/src/recovery/start_plan.cpp
+++ b/src/recovery/start_plan.cpp
@@ -27,14 +27,16 @@
 }
 
 // Whether the last known good configuration is used instead of the file. This is the case if the file has not
-// changed since it was last accepted, and operators have changed the configuration since then or the canary
-// of the file's configuration had not ended. A changed file overrides the operators' changes.
+// changed since it was last accepted, and the last known good configuration differs from the file: operators
+// have changed the configuration, or the file's configuration has not passed its canary. A file that has
+// changed is always used, and overrides the operators' changes.
 bool overrides_file(const RecoveredState& recovered, const std::string& file_document) {
     return recovered.last_known_good && recovered.file == file_document &&
            recovered.last_known_good->dump() != file_document;
 }
 
-// Returns the stored document with the file's values of the fixed fields (FieldKind::fixed).
+// Returns the stored document with the file's values of the fixed fields, which cannot change while the
+// process runs (FieldKind::fixed). A section "admin" or "state" that the file omits keeps its stored value.
 json with_fixed_fields_of(json document, const json& file, const json& file_document) {
     for (const char* field : {"name", "listen"}) document[field] = file.at(field);
     if (!file_document.contains(kOwnSection)) return document;
@@ -44,7 +46,9 @@
     return document;
 }
 
-// Puts the last known good configuration into `start`. Start-only fields keep the file's values.
+// Puts the last known good configuration into `start`. The seed, the known endpoint list, the fixed fields
+// and the stable uptime keep the file's values. If the stored configuration is invalid, this function logs
+// the reason, and `start` keeps the file's configuration.
 void use_last_known_good(Start& start, const json& file, const RecoveredState& recovered) {
     try {
         const json document =
@@ -63,8 +67,8 @@
     }
 }
 
-// The stored endpoint list replaces the file's list if it is newer and comes from the same discovery address,
-// or if the file has no list.
+// The stored endpoint list replaces the known list of the configuration if the stored list has a higher
+// sequence number and comes from the same discovery address, or if the configuration has no list.
 void choose_endpoints(Start& start, const RecoveredState& recovered) {
     if (!recovered.endpoints) return;
     std::ostringstream discovery;
@@ -82,8 +86,8 @@
         if (const char* text = std::getenv(variable); text && *text) document[field] = text;
 }
 
-// The file's document or the reason for its rejection, and the state folder that the file or the environment
-// names.
+// The file's document or the reason for its rejection, and the state folder. OCHREGRADE_STATE_DIR overrides
+// the folder that the file names; the folder is empty if neither names one.
 struct FileResult {
     std::optional<json> document;
     std::optional<ConfigError> error;
--- a/src/recovery/start_plan.hpp
+++ b/src/recovery/start_plan.hpp
@@ -17,16 +17,19 @@
     ConfigVersions::Source source = ConfigVersions::Source::start;
     std::unique_ptr<StateStore> state_store;  // null if the state folder is not used
     RecoveredState recovered;
-    /// config.known_endpoints come from the state folder; discovery may have restarted its sequence since.
+    /// Whether config.known_endpoints came from the state folder. The stored sequence number is then not
+    /// compared with discovery's, because discovery may have restarted its sequence since the list was
+    /// stored.
     bool endpoints_restored = false;
 };
 
-/// Reads the file and the state folder. Throws ConfigError if the file is rejected and no stored
-/// configuration may replace it (OCHREGRADE_LAST_KNOWN_GOOD, OCHREGRADE_STATE_DIR).
+/// Reads the file and the state folder. If the file is rejected, the last known good configuration replaces
+/// it, provided that OCHREGRADE_LAST_KNOWN_GOOD is set (and not to "0") and that the state folder, which only
+/// OCHREGRADE_STATE_DIR can name in this case, has one. Otherwise throws ConfigError.
 Start prepare_start();
 
-/// Decides without reading files. `file` is the file's document; without a value the file was rejected, and
-/// the process starts with recovered.last_known_good.
+/// Decides without reading files. `file` is the file's document, or has no value if the file was rejected. In
+/// that case the process starts with recovered.last_known_good, which the caller must provide.
 Start decide_start(const std::optional<nlohmann::json>& file, const RecoveredState& recovered);
 
 }  // namespace ochregrade::sidecar
--- a/src/recovery/state_records.cpp
+++ b/src/recovery/state_records.cpp
@@ -9,15 +9,16 @@
 
 using nlohmann::json;
 
-// Value of the required field "seed" for stored configurations from which no random numbers are derived.
+// Value of the field "seed" for stored configurations that are only validated or retained as targets of a
+// rollback. No random numbers are derived from this seed.
 constexpr const char* kNoSeed = "0";
 
 json parse_text_field(const json& record, const char* field) {
     return parse_config(record.at(field).get<std::string>(), field);
 }
 
-// Returns the document with the present name of the program's section; records of earlier versions may have
-// the section's former name.
+// Returns the document with the present name of the program's section (kOwnSection). Records of earlier
+// program versions may have the former name (kFormerSection). An invalid document is returned unchanged.
 std::string in_current_format(const std::string& document) {
     try {
         return parse_config(document, "file").dump();
@@ -76,7 +77,7 @@
     ConfigRecord record;
     record.last_known_good = parse_text_field(stored, "good");
     read_stored_document(record.last_known_good, kNoSeed,
-                         nullptr);  // throws if a live change would be rejected
+                         nullptr);  // throws if the document is not a valid configuration
     record.next_version = stored.at("next").get<std::uint64_t>();
     record.file_document = in_current_format(stored.at("file").get<std::string>());
     record.canary_under_way = stored.at("on_trial").get<bool>();
@@ -88,7 +89,8 @@
                                   const ConfigVersions::Entry& last_known_good,
                                   const std::string& file_document) {
     json stored;
-    // Documents are stored as text, because parsing them here would block the event loop.
+    // Each document is stored as one JSON string and not as a JSON object, because parsing the documents here
+    // would block the event loop.
     stored["good"] = last_known_good.snapshot->config.document;
     stored["file"] = file_document;
     stored["next"] = versions.next_version();
--- a/src/recovery/state_records.hpp
+++ b/src/recovery/state_records.hpp
@@ -15,13 +15,15 @@
 
 namespace ochregrade::sidecar {
 
-/// Returns the Config of a version's document, which lacks the start-only fields. `seed`: hex digits.
-/// `known`: the endpoint list to start with, or null. Throws ConfigError.
+/// Returns the Config that the stored document of a version describes. The document lacks the fields that
+/// apply only to the start of a process (FieldKind::start_only), so the caller passes their values. `seed`:
+/// hex digits. `known`: the endpoint list to start with, or null. Throws ConfigError if the document is
+/// invalid.
 Config read_stored_document(nlohmann::json document, const std::string& seed, const nlohmann::json* known);
 
 /// The record "config".
 struct ConfigRecord {
-    nlohmann::json last_known_good;  // a version's document
+    nlohmann::json last_known_good;  // document of the last known good version
     std::string file_document;       // the file's document when the file was last accepted
     std::uint64_t next_version = 1;
     bool canary_under_way = false;
@@ -41,11 +43,13 @@
 };
 EndpointsRecord parse_endpoints_record(const std::string& payload);
 std::string endpoints_record_payload(const EndpointsRecord& record);
-/// A text that is equal for records that differ only in values that change continuously: the time of writing,
-/// latency ratios and the remaining time of ejections.
+/// Returns a text that is equal for two records with the same endpoint list, the same discovery address and
+/// the same ejected endpoints. The text leaves out what changes continuously (the time of writing, latency
+/// ratios, the remaining time of ejections) and the start times in the snapshots.
 std::string endpoints_record_identity(const EndpointsRecord& record);
 
-/// The record "starts": the number of consecutive runs that have not been confirmed as stable.
+/// The record "starts": the number of consecutive runs, including the current one, that have not been
+/// confirmed as stable.
 int parse_starts_record(const std::string& payload);
 std::string starts_record_payload(int starts);
 
--- a/src/recovery/state_store.cpp
+++ b/src/recovery/state_store.cpp
@@ -14,8 +14,8 @@
 constexpr const char* kEndpointsKind = "world";
 constexpr const char* kStartsKind = "starts";
 
-// Returns the snapshots as they are after `elapsed`, without those whose ejection and latency ratio have
-// expired.
+// Returns the snapshots as they are `elapsed` ms later, without those that then have neither an ejection nor
+// a latency ratio. An ejection that has expired has a remaining time of 0 or less.
 std::vector<NamedEndpointSnapshot> age_snapshots(std::vector<NamedEndpointSnapshot> snapshots,
                                                  Millis elapsed) {
     for (NamedEndpointSnapshot& snapshot : snapshots) {
@@ -75,8 +75,9 @@
     return state;
 }
 
-// Returns false if the disk can't be written to. The new count is on the disk before any of the state is
-// used, because the state may be the cause of a crash of this run.
+// Counts this start, and quarantines the state if the previous kMaxShortRuns runs ended early. Returns false
+// if the count can't be written. The new count is on the disk before any of the state is used, because the
+// state may make this run crash.
 bool StateStore::count_start(RecoveredState& state) {
     const int starts = load<int>(kStartsKind, parse_starts_record).value_or(0);
     if (const std::error_code error = store_->save(kStartsKind, starts_record_payload(starts + 1))) {
@@ -114,7 +115,7 @@
     }
     state.endpoints = std::move(record->list);
     state.discovery = std::move(record->discovery);
-    // If the record's age is unknown, all ejections may have expired.
+    // If the record's age is unknown, all ejections may have expired, so no snapshot is used.
     if (elapsed) state.snapshots = age_snapshots(std::move(record->snapshots), *elapsed);
 }
 
--- a/src/recovery/state_store.hpp
+++ b/src/recovery/state_store.hpp
@@ -1,6 +1,6 @@
 // Stores the state of a sidecar on disk and decides how much of it a later run may use (docs/RECOVERY.md).
-// State is stored only if a folder is configured. The process waits for the disk only once: at the start,
-// before it serves requests.
+// State is stored only if a folder is configured. The process waits for the disk only at the start, before it
+// serves requests, and for at most 1 s at exit, in the destructor of the BackgroundWriter.
 #pragma once
 
 #include <deque>
@@ -24,13 +24,14 @@
 /// Stored latency ratios older than this are not used.
 constexpr Millis kMaxLatencyRatioAge = 60e3;
 
-/// The state that the previous run stored.
+/// The state that earlier runs stored. A field without a usable record keeps its default.
 struct RecoveredState {
-    std::optional<nlohmann::json> last_known_good;  // document of the configuration's version
+    std::optional<nlohmann::json> last_known_good;  // document of the last known good version
     std::string file;                               // the file's document when the file was last accepted
-    std::deque<ConfigVersions::Entry> versions;     // targets of a rollback, oldest first
+    std::deque<ConfigVersions::Entry> versions;     // possible targets of a rollback, oldest first
     std::uint64_t next_version = 1;                 // higher than the number of every earlier version
-    bool canary_interrupted = false;  // the run ended during a canary, whose version is not last_known_good
+    // The previous run ended during a canary; last_known_good is the version before the canary's.
+    bool canary_interrupted = false;
     std::optional<EndpointList> endpoints;
     std::string discovery;                         // address:port of the discovery that sent the endpoints
     std::vector<NamedEndpointSnapshot> snapshots;  // adjusted to the time of the recovery
@@ -39,7 +40,8 @@
 
 class StateStore {
 public:
-    /// The state is quarantined after this number of consecutive runs that ended early.
+    /// The state is quarantined (its files are renamed and not used) after this number of consecutive runs
+    /// that ended early, which means before confirm_stable_uptime().
     static constexpr int kMaxShortRuns = 3;
     using Now = std::function<Timestamps()>;
 
@@ -51,13 +53,15 @@
     /// disk.
     RecoveredState recover();
 
-    /// `file`: the file's document when the file was last accepted.
+    /// Queues the record "config" for writing, unless it is the same as the last one. `file`: the file's
+    /// document when the file was last accepted.
     void save_config(const ConfigVersions& versions, const std::string& file);
-    /// Writes nothing if the new record has the same endpoints_record_identity() as the last one.
+    /// Queues the record "world" for writing, unless it has the same endpoints_record_identity() as the last
+    /// one.
     void save_endpoints(const EndpointList& list, const std::string& discovery,
                         const std::vector<NamedEndpointSnapshot>& snapshots);
-    /// Resets the count of short runs. Called when this run has lasted long enough or ends as planned, so
-    /// that the run does not count towards a crash loop.
+    /// Resets the count of short runs. Called when this run has lasted for Config::stable_uptime or ends as
+    /// planned, so that the run does not count towards a crash loop.
     void confirm_stable_uptime();
 
     bool usable() const { return unusable_reason_.empty() && writer_; }
@@ -65,7 +69,7 @@
     storage::BackgroundWriter::Counts counts() const {
         return writer_ ? writer_->counts() : storage::BackgroundWriter::Counts();
     }
-    /// Whether all submitted records are on the disk.
+    /// Whether all submitted records are on the disk; also true if no records can be written.
     bool settled() const { return !writer_ || writer_->settled(std::chrono::milliseconds(0)); }
 
 private:
@@ -78,8 +82,9 @@
     std::shared_ptr<storage::Directory> folder_;
     Now now_;
     std::shared_ptr<storage::RecordStore> store_;
-    std::unique_ptr<storage::BackgroundWriter> writer_;  // created by recover(); uses store_ on its thread
-    std::string last_endpoints_;                         // identity of the endpoints record last submitted
+    // Null before recover(), and afterwards if the folder can't be used. The writer's thread uses store_.
+    std::unique_ptr<storage::BackgroundWriter> writer_;
+    std::string last_endpoints_;  // identity of the endpoints record last submitted
     std::string last_config_;
     std::string unusable_reason_;
 };
--- a/src/recovery/timestamps.cpp
+++ b/src/recovery/timestamps.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-// Clocks of one machine differ by less than this.
+// 1 s: clocks of one machine differ by less. A record that seems to be from the future by at most this much
+// has the age 0; the age of a record from further in the future is unknown.
 constexpr Millis kClockTolerance = 1000;
 
 Millis read_clock(clockid_t clock) {
@@ -31,7 +32,8 @@
         if (elapsed < -kClockTolerance) return {};
         return std::max(0.0, elapsed);
     }
-    // The machine has been rebooted since, so the record is at least as old as the present boot.
+    // The machine has been rebooted since the record was written, or a boot id is unknown, which is treated
+    // the same. The record is therefore taken to be at least as old as the present boot.
     const Millis elapsed = now.wall - then.wall;
     if (!(elapsed >= -kClockTolerance)) return {};
     return std::max({0.0, elapsed, now.uptime});
--- a/src/recovery/timestamps.hpp
+++ b/src/recovery/timestamps.hpp
@@ -18,8 +18,10 @@
 
 Timestamps system_timestamps();
 
-/// Returns the smallest age that is certain, in milliseconds. Returns nothing if `then` is later than `now`
-/// according to the clocks, so that the age is unknown.
+/// Returns the time from `then` to `now` in milliseconds. Within one boot this is the difference of the
+/// uptimes. Otherwise it is the difference of the wall clock, but at least the present uptime. Returns
+/// nothing if `then` is more than 1 s later than `now` according to the clock used, because the age is then
+/// unknown.
 std::optional<Millis> age(const Timestamps& then, const Timestamps& now);
 
 }  // namespace ochregrade::sidecar
--- a/src/simulator/balancer_host.cpp
+++ b/src/simulator/balancer_host.cpp
@@ -175,7 +175,8 @@
     dispatch(instance, arrived);
 }
 
-// This event and the following events are skipped if they name a request that the instance has already ended.
+// response_started(), client_disconnected() and attempt_ended() skip an event whose request the instance does
+// not know, usually because the request has ended already.
 void BalancerHost::response_started(Instance& instance, const Message& message) {
     const std::optional<RequestId> request = find_id(instance.request_ids, message.text("rid"));
     const auto attempt = static_cast<std::uint32_t>(message.integer("hop"));
--- a/src/simulator/balancer_host.hpp
+++ b/src/simulator/balancer_host.hpp
@@ -19,7 +19,8 @@
 
 namespace ochregrade::wire {
 
-/// One endpoint of a catalog. A catalog is an endpoint list of the simulator.
+/// One endpoint of a catalog. A catalog is a numbered endpoint list of the simulator, to which later messages
+/// refer by its number.
 struct CatalogEntry {
     std::string endpoint;
     std::string zone;
--- a/src/simulator/instance.hpp
+++ b/src/simulator/instance.hpp
@@ -3,8 +3,8 @@
 /// integers.
 ///
 /// The instance stores a request until the request and all its attempts have ended, and an endpoint while it
-/// is listed or has an attempt in flight. Memory is therefore bounded by the endpoint list and the attempts
-/// in flight.
+/// is listed or has an attempt in flight. The memory for them is therefore bounded by the endpoint list, the
+/// requests that have not ended and the attempts in flight.
 #pragma once
 
 #include <cstdint>
--- a/src/simulator/instance_config.hpp
+++ b/src/simulator/instance_config.hpp
@@ -14,15 +14,15 @@
 
 struct InstanceConfig {
     Settings settings;
-    std::vector<std::string> zones;    ///< by ZoneId
-    std::vector<std::string> classes;  ///< by class index
+    std::vector<std::string> zones;    ///< names of the zones, indexed by ZoneId
+    std::vector<std::string> classes;  ///< names of the request classes, indexed by class index
 
     /// Returns the zone's id. A new name gets the next number.
     ZoneId find_or_add_zone(std::string_view name);
 };
 
-/// Reads a START message. Unknown fields are ignored. Throws WireError for missing or malformed fields. The
-/// values of the settings are validated by the constructor of Balancer.
+/// Reads a START message. Unknown fields are ignored. Throws WireError for malformed and for missing required
+/// fields. The values of the settings are validated by the constructor of Balancer.
 InstanceConfig read_instance_config(const Message& start);
 
 }  // namespace ochregrade::wire
--- a/src/simulator/message.cpp
+++ b/src/simulator/message.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Whether all of `text` is one value of type T.
+// Reads `value` from `text`. Returns whether all of `text` is one value of type T.
 template <class T>
 bool parse(std::string_view text, T& value) {
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
--- a/src/storage/background_writer.cpp
+++ b/src/storage/background_writer.cpp
@@ -70,7 +70,7 @@
             continue;
         }
         ++s.counts.failed;
-        if (s.stop) {  // no retry during shutdown
+        if (s.stop) {  // no retry during shutdown, not even with a newer payload of the kind
             s.pending.erase(next.key());
             continue;
         }
--- a/src/storage/background_writer.hpp
+++ b/src/storage/background_writer.hpp
@@ -1,6 +1,6 @@
 // Writes records on a separate thread, one at a time, so that the event loop never waits for the disk. Only
 // the newest payload of each kind is pending: a slow disk makes the stored state older but does not make the
-// queue grow. Failed writes are retried with exponential backoff.
+// queue grow. Failed writes are retried with exponential backoff, from first_backoff up to 64 times that.
 #pragma once
 
 #include <chrono>
@@ -26,7 +26,8 @@
 
     BackgroundWriter(std::shared_ptr<Directory> directory, std::shared_ptr<RecordStore> store,
                      std::chrono::milliseconds first_backoff = std::chrono::milliseconds(1000));
-    /// Makes one attempt to write each pending payload, but waits for at most a second.
+    /// Waits for at most 1 s while the thread makes one attempt to write each pending payload. The thread
+    /// drops a pending payload if a write of the same kind fails during this time.
     ~BackgroundWriter();
     BackgroundWriter(const BackgroundWriter&) = delete;
     BackgroundWriter& operator=(const BackgroundWriter&) = delete;
--- a/src/storage/directory.cpp
+++ b/src/storage/directory.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxFileBytes = 64 << 20;  // far larger than any record
+constexpr std::size_t kMaxFileBytes = 64 << 20;  // 64 MiB; far larger than any record
 constexpr std::size_t kReadBytes = 65536;
 
 std::error_code error_of(int error_number) { return {error_number, std::generic_category()}; }
@@ -119,8 +119,8 @@
 }  // namespace
 
 OpenedDirectory open_directory(const std::string& path) {
-    // These errors are ignored because the directory may exist already, for example on a read-only file
-    // system.
+    // These three errors are ignored because the directory may exist already, for example on a read-only file
+    // system. If it does not, open() fails below.
     if (::mkdir(path.c_str(), 0700) != 0 && errno != EEXIST && errno != EROFS && errno != EACCES)
         return {nullptr, last_error()};
     const int fd = ::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
--- a/src/storage/record_store.cpp
+++ b/src/storage/record_store.cpp
@@ -124,13 +124,14 @@
         const auto parsed = parse(name);
         return !parsed || parsed->kind != kind;
     });
-    std::sort(names.rbegin(), names.rend());  // newest first: all sequences have the same number of digits
+    std::sort(names.rbegin(), names.rend());  // newest first: names of equal kind and length sort by sequence
     std::optional<Record> newest;
     std::vector<std::uint64_t>& sequences = sequences_[kind];
     sequences.clear();
     for (const std::string& name : names) {
         std::string bytes;
-        if (const std::error_code error = directory_.read(name, bytes)) {  // a later read may succeed
+        if (const std::error_code error = directory_.read(name, bytes)) {
+            // The file is not quarantined, because a later read may succeed.
             log_(name + " can't be read: " + error.message());
             continue;
         }
@@ -143,7 +144,7 @@
         const bool intact = decoded.error == DecodeError::none;
         if (intact && (decoded.record.kind != kind || decoded.record.sequence != sequence))
             decoded.reason = "its kind or sequence differs from its file name";
-        else if (intact && !newest)  // older records may be valid only for an older program
+        else if (intact && !newest)  // older records are not validated: an older program may accept them
             decoded.reason = validate(decoded.record);
         if (!decoded.reason.empty()) {
             quarantine(name, decoded.reason);
@@ -165,7 +166,8 @@
     directory_.sync_directory();
 }
 
-// Deletes the quarantined files with the lowest sequences, regardless of their kind.
+// Deletes the quarantined files with the lowest sequences, regardless of their kind, until at most
+// kMaxQuarantined remain.
 void RecordStore::limit_quarantine() {
     std::vector<std::string> names;
     directory_.list(names);
@@ -191,11 +193,13 @@
     sequences_[kind].clear();
 }
 
-// Writes a file that is durable on success. After a failure the file may exist with a part of the bytes.
+// Writes a file. On success its content is durable, but its name is durable only after the next
+// sync_directory(). After a failure the file may exist with a part of the bytes.
 std::error_code RecordStore::write_file(const std::string& name, const std::string& bytes) {
     if (const std::error_code error = directory_.create(name)) return error;
     std::error_code error = directory_.write(bytes);
-    // After a failed sync the data is not on the disk, and a second sync would not report the loss again.
+    // A failed sync is not repeated, because the kernel may have discarded the data, and a second sync would
+    // not report the loss again.
     if (!error) error = directory_.sync();
     const std::error_code closed = directory_.close();
     return error ? error : closed;
--- a/src/storage/record_store.hpp
+++ b/src/storage/record_store.hpp
@@ -1,6 +1,6 @@
 // A store of durable records. Each record is a separate file, which is verified when it is read: a record
 // that differs from what was written is not used. The newest valid record of a kind is the current one. The
-// store uses no clock and no thread. Source: docs/RECOVERY.md.
+// store uses no clock and no thread (docs/RECOVERY.md).
 #pragma once
 
 #include <cstdint>
@@ -45,14 +45,15 @@
     /// Returns the reason why the record can't be used, or an empty string if it is valid.
     using Validator = std::function<std::string(const Record&)>;
     static constexpr std::size_t kMaxRecords = 3;       // retained records of each kind
-    static constexpr std::size_t kMaxQuarantined = 16;  // files; older ones are deleted, and that is logged
+    static constexpr std::size_t kMaxQuarantined = 16;  // files of all kinds; older ones are deleted
 
-    /// Deletes unfinished files and continues after the highest sequence found. `directory` must outlive the
-    /// store.
+    /// Deletes the files that an earlier process did not finish writing. New records get sequences above the
+    /// highest one found in a file name. `directory` must outlive the store.
     RecordStore(Directory& directory, LogCallback log);
 
-    /// Returns the newest valid record of the kind. Damaged records and records that `validate` rejects are
-    /// quarantined (renamed); records that a newer program has written are not changed.
+    /// Returns the newest valid record of the kind. Damaged records, and records newer than the returned one
+    /// that `validate` rejects, are quarantined (renamed). Records that can't be read or that a newer program
+    /// has written are not changed.
     std::optional<Record> load(const std::string& kind, const Validator& validate);
     /// Quarantines all records of the kind.
     void quarantine_all(const std::string& kind, const std::string& reason);
@@ -76,7 +77,7 @@
     Directory& directory_;
     LogCallback log_;
     std::uint64_t last_sequence_ = 0;                              // highest sequence found or used
-    std::map<std::string, std::vector<std::uint64_t>> sequences_;  // valid records by kind, oldest first
+    std::map<std::string, std::vector<std::uint64_t>> sequences_;  // of intact records by kind, oldest first
 };
 
 }  // namespace ochregrade::storage
