--- a/tests/discovery/discovery_client_test.cpp
+++ b/tests/discovery/discovery_client_test.cpp
@@ -20,8 +20,8 @@
     discovery.say(9, true, {host("s2", server.at())});
     EXPECT_EQ(discovery.wait_for(5).at(4), "/v1/servers?after=9&wait_ms=");
     App app(sidecar.at);
-    const auto start =
-        std::chrono::steady_clock::now();  // the client starts the next call just before it applies the list
+    // The sidecar may not have applied the list yet, because the client starts the next call first.
+    const auto start = std::chrono::steady_clock::now();
     while (app.ask(App::request("listen")).result_int() != 200u) ASSERT_LT(seconds_since(start), 30);
 }
 
@@ -46,15 +46,15 @@
     config.erase("known");
     Running sidecar(config);
     EXPECT_EQ(discovery.wait_for(1).at(0), "/v1/servers");
-    std::this_thread::sleep_for(std::chrono::milliseconds(2500));  // longer than the connect timeout
+    std::this_thread::sleep_for(std::chrono::milliseconds(2500));  // longer than the connect timeout of 2 s
     discovery.say(1, true, {host("s1", kNoAddress)});
     EXPECT_EQ(discovery.wait_for(2).at(1), "/v1/servers?after=1&wait_ms=")
         << "the first call was not retried";
 }
 
-// A long poll that has stalled looks like one without changes, and its wait_ms bounds how old the list may
-// get. The wait, the timeout beyond it, a pause and one more call must together end within the 6 s after
-// which the protocol counts the sidecar as notified of a change.
+// A long poll that has stalled looks like one without changes until its timeout expires, so its wait_ms
+// bounds how old the list may get. The wait, the timeout beyond it, a pause and one more call must together
+// end within the 6 s after which the protocol counts the sidecar as notified of a change.
 TEST(DiscoveryClient, ReopensStalledWatchBeforeListIsTooOld) {
     constexpr int kNotifiedWithinMs = 6000, kTimeoutBeyondWaitMs = 2000, kMaxPauseMs = 1500;
     FakeServer server;
@@ -124,8 +124,8 @@
     new_discovery.wait_for(2);  // the long polls continue at the new address
 }
 
-// The pause after a failed call protects an overloaded discovery. After a long poll that has stalled, a pause
-// would only make the list older.
+// The pause after a failed call protects an overloaded discovery. A stalled long poll has already lasted
+// until its timeout, so a pause after it would only make the list older.
 TEST(DiscoveryClient, RepeatsTimedOutCallWithoutReportingFailure) {
     asio::io_context io(1);
     FakeDiscovery silent;
--- a/tests/recovery/crash_test.cpp
+++ b/tests/recovery/crash_test.cpp
@@ -44,8 +44,8 @@
         } catch (const boost::system::system_error&) {
         }
     }
-    // Checks that the process starts with the last configuration on the disk, or with the configuration that
-    // was being written when the previous process was killed.
+    // Checks that the process starts with the last configuration that is known to be on the disk, or with the
+    // configuration that was being changed to when the previous process was killed.
     std::unique_ptr<Process> start_and_check() {
         auto process = fixture.start();
         // The run must be confirmed as stable; otherwise the state would be quarantined as a crash loop.
@@ -56,7 +56,8 @@
         acknowledged = tried = attempts;
         return process;
     }
-    // Changes max-attempts and kills the process. Returns whether the change was on the disk before the kill.
+    // Changes max-attempts and kills the process. Returns whether the change was certainly on the disk before
+    // the kill; a random third of the calls waits for that.
     bool change_and_kill(Process& process, int attempts) {
         json next = fixture.config;
         next["settings"]["limits"]["max-attempts"] = tried = attempts;
@@ -76,7 +77,8 @@
     }
 
     Fixture fixture;
-    int acknowledged = 3, tried = 3;  // values of max-attempts
+    // Values of max-attempts: of the last configuration known to be on the disk, and of the last one sent.
+    int acknowledged = 3, tried = 3;
 
 private:
     std::uint64_t state_ = 20261201;
@@ -175,7 +177,7 @@
     }
 }
 
-TEST(PlannedStops, OfShortRunsAreNotACrashLoop) {
+TEST(PlannedStops, ShortRunsThatEndAsPlannedAreNotACrashLoop) {
     Fixture f;
     f.config["ochregrade"]["state"]["lived_ms"] = 3600000;
     f.place.write(f.config.dump());
--- a/tests/recovery/recorded_bytes_test.cpp
+++ b/tests/recovery/recorded_bytes_test.cpp
@@ -10,7 +10,8 @@
 
 namespace fs = std::filesystem;
 
-// Returns the document as this version writes it; recorded documents have the section's former name.
+// Returns the document as this version writes it. Recorded documents have the former name of the program's
+// section.
 std::string in_current_format(const std::string& document) {
     return parse_config(document, "a recorded document").dump();
 }
--- a/tests/recovery/restored_state_test.cpp
+++ b/tests/recovery/restored_state_test.cpp
@@ -28,7 +28,8 @@
     EXPECT_EQ(app.ask("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").result_int(), 200u);
     EXPECT_EQ(app.ask(App::request("listen")).result_int(), 200u);
     EXPECT_EQ(silent.wait_for(1).at(0), "/v1/servers") << "changes since a stored list must not be requested";
-    // Discovery has restarted its sequence: its list has a lower number than the stored one, and is accepted.
+    // Discovery has restarted its sequence. The sidecar accepts its list, although the list has a lower
+    // sequence number than the stored one.
     silent.say(1, true, {host("s1", server.at())});
     EXPECT_EQ(silent.wait_for(2).at(1), "/v1/servers?after=1&wait_ms=");
 }
--- a/tests/recovery/state_store_test.cpp
+++ b/tests/recovery/state_store_test.cpp
@@ -119,7 +119,7 @@
     StateDirectory state;
     state.run_stably([](StateStore& store) { store.save_endpoints(two_endpoints(), "x", {}); });
     for (int i = 0; i < StateStore::kMaxShortRuns; ++i) {
-        const RecoveredState recovered = state.recover();  // ends before its uptime is stable
+        const RecoveredState recovered = state.recover();  // this run ends before it is confirmed as stable
         EXPECT_TRUE(recovered.endpoints) << i;
         EXPECT_FALSE(recovered.crash_loop);
     }
--- a/tests/storage/record_store_test.cpp
+++ b/tests/storage/record_store_test.cpp
@@ -25,8 +25,8 @@
     return record ? record->payload : "nothing";
 }
 
-// Saves records one after the other. `allowed` contains the payloads that load() may return after a power
-// failure at the present moment.
+// Saves records one after the other. `allowed` contains the payloads that load() may return if the power
+// fails now; "nothing" stands for no record.
 struct SimulatedRun {
     std::set<std::string> allowed = {"nothing"};
     void save_all(SimulatedDirectory& directory, int saves) {
@@ -103,7 +103,7 @@
     SimulatedDirectory directory;
     RecordStore store(directory, kNoLog);
     ASSERT_EQ(store.save("world", "old"), std::error_code());
-    directory.fail_at = directory.calls + 2;  // after create and write
+    directory.fail_at = directory.calls + 2;  // the sync, which follows create and write
     directory.fail_with = EIO;
     EXPECT_EQ(store.save("world", "new"), std::errc::io_error);
     EXPECT_EQ(found_in(directory), "old");
@@ -252,7 +252,7 @@
     ASSERT_TRUE(opened.directory) << "the lock is released with the directory object";
     RecordStore store(*opened.directory, kNoLog);
     EXPECT_EQ(store.load("world", kAcceptAll)->payload, "kept");
-    std::ofstream(temp.path + "/" + numbered(9)).flush();  // an empty file
+    std::ofstream(temp.path + "/" + numbered(9)).flush();  // an empty file with a record's name
     RecordStore later(*opened.directory, kNoLog);
     EXPECT_EQ(later.load("world", kAcceptAll)->payload, "kept");
     EXPECT_TRUE(std::filesystem::exists(temp.path + "/bad-" + numbered(9)));
--- a/tests/support/recorded.hpp
+++ b/tests/support/recorded.hpp
@@ -1,7 +1,7 @@
 // Access to the files under tests/recorded, whose bytes an earlier version of the program wrote. Tests
-// compare with them to check that this version still reads and writes the same bytes. If OCHREGRADE_RECORD=1
-// is set in the environment, the tests overwrite the files instead; this is only for intended changes of a
-// format.
+// compare the files with their own results, to check that this version still reads and writes the same bytes.
+// If OCHREGRADE_RECORD=1 is set in the environment, the tests overwrite the files instead; this is only for
+// intended changes of a format.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -41,7 +41,7 @@
     EXPECT_TRUE(file.flush()) << name << " can't be written";
 }
 
-// Checks that the file `name` contains exactly `bytes`.
+// Checks that the file `name` contains exactly `bytes`. If recording(), writes `bytes` to the file first.
 inline void expect_same(const std::string& name, std::string_view bytes) {
     if (recording()) write(name, bytes);
     EXPECT_EQ(read(name), bytes) << name;
@@ -57,7 +57,7 @@
     return text;
 }
 
-// Decodes a text of hex digits and white space.
+// Decodes a text of hex digits and white space. An odd last digit is ignored.
 inline std::vector<std::uint8_t> bytes_of_hex(const std::string& text) {
     std::istringstream in(text);
     std::string digits, part;
--- a/tests/support/simulated_directory.hpp
+++ b/tests/support/simulated_directory.hpp
@@ -18,8 +18,8 @@
 struct Crash {};
 
 // Stores what the program sees separately from what is on the disk. The content of a file is durable after a
-// sync of the file, and names are durable after a sync of the directory. Until then a name may or may not be
-// on the disk, and content may be there completely, in part or not at all.
+// sync of the file, and names are durable after a sync of the directory. Until then a change of a name may or
+// may not be on the disk, and content may be there completely, in part or not at all.
 class SimulatedDirectory : public Directory {
 public:
     struct File {
@@ -37,10 +37,11 @@
         FilePtr file;
     };
 
+    // Calls are numbered from 0; list, read and close neither count nor fail.
     int crash_at = -1;                // number of the call before which the power fails; -1: none
     int fail_at = -1, fail_with = 0;  // number of the call that fails, -1: none; and its errno
     bool fail_permanently = false;    // all calls after fail_at fail too
-    int calls = 0;
+    int calls = 0;                    // number of calls so far
 
     std::error_code list(std::vector<std::string>& names) override {
         names.clear();
@@ -100,7 +101,8 @@
         return {};
     }
 
-    // Calls `visit` with each directory that may exist after a power failure.
+    // Calls `visit` with each directory that may exist after a power failure now. At most 10 changes of names
+    // and 4 files may lack a sync.
     void for_each_survivor(const std::function<void(SimulatedDirectory&)>& visit) const {
         ASSERT_LE(steps_.size(), 10u);
         for (std::uint32_t chosen = 0; chosen < (1u << steps_.size()); ++chosen) {
