--- a/src/balancer/evidence_state.hpp
+++ b/src/balancer/evidence_state.hpp
@@ -17,12 +17,13 @@
 /// Time constant of the decaying counts: after this time an outcome has about a third (1/e) of its weight
 /// left.
 constexpr Millis kEvidenceDecay = 5000;
-/// Time since this sidecar's last report about a slow endpoint after which the next outcome there is
-/// published even if nothing has changed, because a report expires at the other sidecars after 10 s.
+/// A slow endpoint is reported again, with its next outcome, once this sidecar's last report about it is this
+/// old, even if nothing has changed: the other sidecars drop a report after 10 s.
 constexpr Millis kRefreshInterval = 5000;
 /// The latency ratio above which an endpoint becomes slow, and the one down to which it stays slow.
 constexpr double kSlowRatio = 1, kNormalRatio = 0.8;
 
+/// What this sidecar has seen of one endpoint and what its peers report of it.
 class EvidenceState {
 public:
     /// The totals over the other sidecars' reports.
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -43,8 +43,8 @@
     return !state.is_available() && !(state.is_ejected_by_fleet() && context_.now >= state.backoff_until());
 }
 
-// Outcomes missing from a window that is not yet full count as successes. An endpoint that is an outlier even
-// then is ejected at once: with sparse traffic, it would take long until the window is full.
+// Outcomes that a window still lacks count as successes. An endpoint that is an outlier even then is ejected
+// at once: with sparse traffic, it would take long until the window is full.
 bool OutlierDetection::is_outlier(const EndpointRecord& endpoint) const {
     const EjectionState& state = endpoint.ejection;
     const int max_successes = state.successes() + (kOutcomeWindow - state.outcomes());
@@ -112,9 +112,9 @@
     return true;
 }
 
-// An endpoint whose backoff has expired but whose half-open trial has not succeeded gets a remaining backoff
-// of 1 ms in its snapshot, because 0 means not ejected. A run that restores this value starts with the
-// endpoint's half-open trial, as this run would have.
+// A remaining backoff of 0 means not ejected. An expired backoff whose half-open trial has not succeeded is
+// therefore saved as 1 ms: a run that restores the value within this time starts with the half-open trial;
+// later the endpoint counts as available.
 std::vector<EndpointSnapshot> OutlierDetection::snapshot() const {
     std::vector<EndpointSnapshot> snapshots;
     for (const auto& [id, endpoint] : table_.records()) {
--- a/src/balancer/retry_policy.hpp
+++ b/src/balancer/retry_policy.hpp
@@ -20,7 +20,7 @@
     /// Slow start is checked separately.
     bool may_send(const Request& request, const EndpointRecord& endpoint) const;
     /// Whether the request may be rejected: a rejection promises that the request has not run or that a
-    /// repeat is harmless.
+    /// repeat is harmless. False also once the request has ended or its response is being streamed.
     bool may_reject(const Request& request) const;
     /// The time before which a repeat must be sent and written. Until then the endpoints know the key of the
     /// first attempt that may have run, and a margin for a late write is left. Infinite if the request has no
--- a/src/common/log.hpp
+++ b/src/common/log.hpp
@@ -1,5 +1,6 @@
-// The log on standard error, built on spdlog. Each line is one JSON object. The rate of lines and their
-// length are bounded, because files and pipes count as memory and a failing peer must not fill them.
+// The log on standard error, built on spdlog. Each line is one JSON object. The rate and the length of lines
+// are bounded: what is written to a file or pipe may be charged to the process's memory limit, and a failing
+// peer could otherwise cause any amount of output.
 #pragma once
 
 #include <spdlog/logger.h>
--- a/src/control/config.hpp
+++ b/src/control/config.hpp
@@ -31,7 +31,9 @@
 /// How this sidecar takes part in the replicated state of the fleet (docs/REPLICATION.md). Periods in ms.
 struct ReplicationConfig {
     bool enabled = false;
-    bool version_agreement = true;  // whether newer versions that other members act on are fetched
+    // Whether this sidecar fetches the endpoint list or settings when another member already uses a newer
+    // version.
+    bool version_agreement = true;
     Millis probe_period = 1000, gossip_period = 100, sync_period = 2000;
     bool operator==(const ReplicationConfig&) const = default;
 };
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -70,7 +70,7 @@
     log_line("discovery address changed: requesting the list from the new address");
     address_ = address;
     cancel_call();
-    seq_ = 0;  // the new address has a different sequence
+    seq_ = 0;  // the server at the new address numbers its lists independently
     lower_since_.reset();
     complete_list_needed_ = true;
     active_ = true;  // a pause after a failed call applies only to the old address
--- a/src/process/resource_limits.hpp
+++ b/src/process/resource_limits.hpp
@@ -1,5 +1,5 @@
-// Divides the descriptors and the memory that the configuration grants between client connections and
-// upstream connections (docs/LIMITS.md).
+// Divides the connections that the descriptor limit allows between clients and upstreams, and sets the memory
+// for client bodies (docs/LIMITS.md).
 #pragma once
 
 #include "control/config.hpp"
--- a/src/process/state_persistence.hpp
+++ b/src/process/state_persistence.hpp
@@ -20,8 +20,8 @@
     StatePersistence(asio::io_context& io, const Clock& clock, std::unique_ptr<StateStore> store,
                      const BalancerDriver& driver, const DiscoveryClient& discovery);
 
-    /// Starts the timer for the endpoints and the confirmation. `stable_uptime`: uptime in ms after which the
-    /// run is confirmed as stable.
+    /// Starts the timer that saves the endpoint list periodically (once discovery has sent one) and, at the
+    /// first tick after `stable_uptime` ms, confirms the run as stable. Does nothing without a store.
     void start(Millis stable_uptime);
     void persist_config(const ConfigVersions& versions, const std::string& file_document);
     /// Writes the endpoints and confirms the run; called at the end of a graceful shutdown.
--- a/src/proxy/balancer_driver.hpp
+++ b/src/proxy/balancer_driver.hpp
@@ -95,8 +95,8 @@
         std::uint64_t attempts = 0, probes = 0, gossip_sent = 0, connects = 0;
         // Final responses that the sidecar generated itself, by reason.
         std::array<std::uint64_t, static_cast<std::size_t>(EndReason::count)> rejections{}, failures{};
-        // Attempts after the first one of a request, by the outcome of the previous attempt. The last element
-        // counts hedges: the previous attempt was still in flight.
+        // Attempts after the first one of a request, by the outcome of the attempt that ended last. The last
+        // element counts hedges: another attempt was still in flight.
         std::array<std::uint64_t, kOutcomeCount + 1> retries{};
     };
     const Totals& totals() const { return totals_; }
--- a/src/proxy/client_session.cpp
+++ b/src/proxy/client_session.cpp
@@ -200,7 +200,7 @@
     auto request = std::make_shared<HttpRequest>(parser_->release());
     parser_.reset();
     account_pipelined(input_.size());
-    if (input_.size() > 0) pipelined_since_ = request_started_at_;  // its earliest arrival
+    if (input_.size() > 0) pipelined_since_ = request_started_at_;  // earliest arrival of the next request
     keep_alive_ = request->keep_alive();
     first_request_ = false;
     if (health_check) return respond_to_health_check();
--- a/src/proxy/close_reason.hpp
+++ b/src/proxy/close_reason.hpp
@@ -9,8 +9,8 @@
 namespace ochregrade::sidecar {
 
 enum class CloseReason : std::size_t {
-    // The peer closed or reset the connection. Upstream also: the endpoint sent an invalid response or
-    // unexpected bytes, or its address has changed.
+    // The peer closed or reset the connection, or writing to a client failed. For an upstream connection
+    // also: the endpoint sent an invalid response or unexpected bytes, or the endpoint's address has changed.
     peer_closed,
     answered,        // closed after its last exchange
     idle,            // unused until the idle timeout
@@ -26,7 +26,7 @@
 
 using CloseCounts = std::array<std::uint64_t, static_cast<std::size_t>(CloseReason::count)>;
 
-/// The reason's label in /metrics and the trace.
+/// The reason's label in /metrics and the trace. The label of `evicted` is "made_room".
 constexpr std::string_view to_string(CloseReason reason) {
     constexpr std::array<std::string_view, static_cast<std::size_t>(CloseReason::count)> kNames = {
         "peer_closed", "answered", "idle",      "timeout",        "made_room",
--- a/src/proxy/upstream_connection.hpp
+++ b/src/proxy/upstream_connection.hpp
@@ -76,7 +76,8 @@
     Millis idle_since() const { return idle_since_; }
     /// The current exchange; null while idle or closed.
     const Exchange* exchange() const { return exchange_.get(); }
-    /// Whether an idle connection is open and has received no bytes.
+    /// Whether an idle connection is open and has no unread bytes; also true if a lack of memory prevents the
+    /// check.
     bool is_usable() { return peek(socket_) == SocketState::no_data; }
 
     void set_exchange(std::unique_ptr<Exchange> exchange);
--- a/src/proxy/upstream_pool.cpp
+++ b/src/proxy/upstream_pool.cpp
@@ -92,8 +92,8 @@
                                 bool reusable) {
     const bool keep = reusable && !connection->group().withdrawn;
     const std::unique_ptr<Exchange> exchange = connection->release_exchange();
-    // The connection is closed before the outcome is reported, so that a retry does not overlap with this
-    // attempt.
+    // The connection is closed or returned to the pool before the outcome is reported, so that a retry does
+    // not overlap with this attempt.
     if (keep && open_ <= limits_.connections)  // the limit may have been lowered
         return_to_pool(connection);
     else
--- a/src/replication/codec.hpp
+++ b/src/replication/codec.hpp
@@ -35,7 +35,8 @@
     probe = 2,    // SWIM's ping-req: the receiver pings the subject and sends an ack with this token
     ack = 3,      // the subject has replied to the ping or probe with this token
     gossip = 4,   // items only; token not 0: a reply; subject not 0: the last datagram of a reply to a pull
-    digest = 5,   // a hash per range; the reply is a summary of the ranges whose hashes differ
+    digest = 5,   // a hash per range of member ids; the replies, if any hash differs, are summaries of the
+                  // ranges that differ, limited in number
     pull = 6,     // a digest of a member that is catching up; the reply is gossip with the same token and the
                   // states of the members in the ranges whose hashes differ
     summary = 7,  // fingerprints of members, requests for states, and states
--- a/src/replication/pending_updates.hpp
+++ b/src/replication/pending_updates.hpp
@@ -21,8 +21,8 @@
     void add(Millis now, const UpdateKey& key);
     void remove(const UpdateKey& key) { transmits_.erase(key); }
     bool empty() const { return transmits_.empty(); }
-    /// Adds the pending updates that fit the datagram and counts them as sent, except evidence and versions
-    /// whose origin is the receiver.
+    /// Adds the pending updates that fit the datagram, except evidence and versions whose origin is the
+    /// receiver, and counts the added ones as sent.
     void attach(Datagram& datagram, MemberId receiver);
 
     /// When the next gossip round is due; kNever if none is.
--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the complete balancer, one behaviour per test: a test fails if the library lacks its behaviour.
+// Tests of the complete balancer. Each test covers one behaviour and fails if the balancer does not show it.
 #include <cmath>
 #include <stdexcept>
 
--- a/tests/balancer/fleet_gossip_test.cpp
+++ b/tests/balancer/fleet_gossip_test.cpp
@@ -119,8 +119,8 @@
     EXPECT_LE(in_flight(8), 2);
 }
 
-// The mean latency ratio of ten responses to a single sidecar varies at random. The reports of peers must
-// therefore also lower and raise the concurrency limit of the sidecar.
+// A sidecar's own mean latency ratio covers only a few responses here and is noisy. The reports of peers must
+// therefore move its concurrency limit too, both down and up.
 TEST(LoadReports, PeersReportsMoveTheConcurrencyLimit) {
     const auto admitted = [](std::uint8_t reported_ratio) {
         BalancerFixture fixture = sidecar_with_reports(10, 4, 0);
@@ -136,7 +136,8 @@
     EXPECT_LT(admitted(120), 15);
 }
 
-// If an outcome window fills within a backoff, the sidecar's own outcomes are better evidence than gossip.
+// If the sidecar's outcome window for an endpoint fills in less time than an ejection's backoff, the
+// sidecar's own outcomes are better evidence than gossip.
 TEST(FailureGossip, ASidecarWithMuchTrafficUsesItsOwnWindows) {
     BalancerFixture fixture = sidecar_with_reports(10, 4, 8);
     int attempts = 0;
--- a/tests/discovery/discovery_client_test.cpp
+++ b/tests/discovery/discovery_client_test.cpp
@@ -73,8 +73,9 @@
     EXPECT_NE(waits[1], waits[2]) << "many sidecars must not make their calls at the same time";
 }
 
-// The discovery at the new address has a different sequence, and a late response from the old address is
-// ignored. A reload of an invalid configuration file changes nothing.
+// The discovery service at the new address numbers its lists independently, so its list 2 must be accepted
+// after list 7 of the old address. A late response from the old address is ignored. On a reload the file's
+// address wins over NODE_DISCOVERY. Reloading an invalid file changes nothing.
 TEST(DiscoveryClient, FollowsAddressChangeAtOnce) {
     FakeServer first, second;
     FakeDiscovery old_discovery, new_discovery;
--- a/tests/proxy/upstream_pool_test.cpp
+++ b/tests/proxy/upstream_pool_test.cpp
@@ -1,4 +1,5 @@
-// Reuse and closing of upstream connections.
+// Reuse and closing of upstream connections, the connection limit, a shortage of descriptors, and what is
+// kept of removed endpoints and at rest.
 #include "proxy/upstream_pool.hpp"
 
 #include "support/stepped_sidecar.hpp"
--- a/tests/recovery/crash_test.cpp
+++ b/tests/recovery/crash_test.cpp
@@ -48,7 +48,8 @@
     // configuration that was being changed to when the previous process was killed.
     std::unique_ptr<Process> start_and_check() {
         auto process = fixture.start();
-        // The run must be confirmed as stable; otherwise the state would be quarantined as a crash loop.
+        // The run must be confirmed as stable; otherwise the kills would count as a crash loop and the state
+        // would be quarantined.
         fixture.wait_for_the_disk();
         const int attempts = fixture.attempts();
         EXPECT_TRUE(attempts == acknowledged || attempts == tried)
--- a/tests/recovery/state_store_test.cpp
+++ b/tests/recovery/state_store_test.cpp
@@ -1,5 +1,5 @@
-// Tests which part of the stored state a later run uses: the age of records, their validation, crash loops,
-// and a directory whose calls fail.
+// Tests what is written and which part of the stored state a later run uses: the age of records, their
+// validation, crash loops, and a directory whose calls fail.
 #include "state_directory.hpp"
 
 namespace ochregrade::sidecar {
--- a/tests/replication/recorded_datagrams_test.cpp
+++ b/tests/replication/recorded_datagrams_test.cpp
@@ -2,6 +2,7 @@
 //   - a recorded datagram of each kind and with each item is decoded to the same fields and encoded to the
 //     same bytes,
 //   - after the same events, the balancer sends the same short gossip datagrams as recorded,
+//   - short gossip datagrams and replication datagrams differ in length,
 //   - a fleet of replicas on a scripted clock sends the same datagrams as when their hash was recorded.
 #define XXH_INLINE_ALL
 #include <xxhash.h>
