--- a/bench/support/__init__.py
+++ b/bench/support/__init__.py
@@ -1,1 +1,1 @@
-"""What the benchmarks and the fault soak share: fakes, load, HTTP/1.1 and the process under test."""
+"""Shared by the benchmarks and the fault soak: fakes, load, HTTP/1.1 and the process under test."""
--- a/bench/support/report.py
+++ b/bench/support/report.py
@@ -4,7 +4,7 @@
 
 
 def metric(text, name):
-    """The value of a metric without labels; `name` has no prefix. Raises KeyError where it is missing."""
+    """The value of a metric without labels; `name` has no prefix. Raises KeyError if it is missing."""
     for line in text.splitlines():
         if line.startswith(f"{METRIC_PREFIX}{name} "):
             return float(line.rsplit(" ", 1)[1])
@@ -21,5 +21,5 @@
 
 
 def median(values):
-    """The middle value; of an even number of values the upper one of the two in the middle."""
+    """The median; for an even number of values, the larger of the two middle values."""
     return sorted(values)[len(values) // 2]
